--- a/app/src/main/java/org/boragegap/app/DeploymentShape.java
+++ b/app/src/main/java/org/boragegap/app/DeploymentShape.java
@@ -1,6 +1,6 @@
 package org.boragegap.app;
 
-import org.boragegap.core.job.Need;
+import org.boragegap.core.job.Resources;
 
 /**
  * Size and policies of an embedded deployment.
@@ -13,8 +13,8 @@
  * @param settings more lines of settings for each entry VM
  */
 record DeploymentShape(
-        int entries, int workers, int minions, int minionSlots, Need worker, String settings) {
-    private static final Need QUICKSTART_WORKER = new Need(16_000, 32_768, 2);
+        int entries, int workers, int minions, int minionSlots, Resources worker, String settings) {
+    private static final Resources QUICKSTART_WORKER = new Resources(16_000, 32_768, 2);
 
     static DeploymentShape quickstart() {
         return new DeploymentShape(2, 4, 4, 8, QUICKSTART_WORKER, "");
--- a/app/src/main/java/org/boragegap/app/EmbeddedDeployment.java
+++ b/app/src/main/java/org/boragegap/app/EmbeddedDeployment.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.concurrent.Executors;
 import java.util.concurrent.ScheduledExecutorService;
-import org.boragegap.core.job.Need;
+import org.boragegap.core.job.Resources;
 import org.boragegap.core.membership.ListedVm;
 import org.boragegap.core.membership.VmKind;
 import org.boragegap.entry.EntryException;
@@ -54,13 +54,13 @@
             int port = LoopbackPorts.next();
             mMinion = HOST + ":" + port;
             mTargets.add(TargetStandin.minion(HOST, port, shape.minionSlots(), mTimer));
-            vms.add(target(port, VmKind.MINION, SERVICE, Need.NONE, shape.minionSlots()));
+            vms.add(target(port, VmKind.MINION, SERVICE, Resources.NONE, shape.minionSlots()));
         }
         for (int i = 0; i < shape.entries(); i++) {
             String peer = HOST + ":" + LoopbackPorts.next();
             mCallers.add(HOST + ":" + LoopbackPorts.next());
             mOperators.add(HOST + ":" + LoopbackPorts.next());
-            vms.add(new ListedVm(peer, DOMAIN, VmKind.ENTRY, "", false, Need.NONE, 0));
+            vms.add(new ListedVm(peer, DOMAIN, VmKind.ENTRY, "", false, Resources.NONE, 0));
             mEntries.add(
                     EntryService.create(
                             settings(i, peer, logPort, listPort), System.currentTimeMillis()));
@@ -75,7 +75,7 @@
     }
 
     private static ListedVm target(
-            int port, VmKind kind, String service, Need capacity, int slots) {
+            int port, VmKind kind, String service, Resources capacity, int slots) {
         return new ListedVm(HOST + ":" + port, DOMAIN, kind, service, false, capacity, slots);
     }
 
--- a/app/src/main/java/org/boragegap/app/PathRun.java
+++ b/app/src/main/java/org/boragegap/app/PathRun.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
 import org.HdrHistogram.Histogram;
-import org.boragegap.core.job.Need;
+import org.boragegap.core.job.Resources;
 import org.boragegap.http.HttpCall;
 import org.boragegap.http.HttpCaller;
 import org.boragegap.http.HttpResult;
@@ -113,7 +113,7 @@
                         0,
                         "team",
                         "kind",
-                        Need.NONE,
+                        Resources.NONE,
                         TIMEOUT_MS,
                         Long.MAX_VALUE,
                         payload(taskMs)));
--- a/app/src/main/java/org/boragegap/app/SizesRun.java
+++ b/app/src/main/java/org/boragegap/app/SizesRun.java
@@ -18,7 +18,7 @@
 import org.boragegap.core.dispatch.DispatchSettings;
 import org.boragegap.core.dispatch.Dispatcher;
 import org.boragegap.core.dispatch.Event;
-import org.boragegap.core.job.Need;
+import org.boragegap.core.job.Resources;
 import org.boragegap.core.job.Submission;
 import org.boragegap.core.job.SubmissionId;
 import org.boragegap.core.job.TaskSpec;
@@ -35,7 +35,7 @@
 final class SizesRun {
     private static final Member SELF = new Member("10.20.30.40:7001", 1_800_000_000_000L);
     private static final Member OTHER = new Member("10.20.30.41:7001", 1_800_000_000_001L);
-    private static final Need NEED = new Need(1_000, 512, 0);
+    private static final Resources NEED = new Resources(1_000, 512, 0);
     private static final int CLAIMS = 100_000;
     private static final int CLAIMS_PER_PART = 2_000;
     private static final int JOBS = 600;
--- a/app/src/main/java/org/boragegap/app/StandinCommand.java
+++ b/app/src/main/java/org/boragegap/app/StandinCommand.java
@@ -11,7 +11,7 @@
 import org.apache.commons.cli.CommandLine;
 import org.apache.commons.cli.Option;
 import org.apache.commons.cli.Options;
-import org.boragegap.core.job.Need;
+import org.boragegap.core.job.Resources;
 import org.boragegap.platform.PlatformJson;
 import org.boragegap.platform.VmList;
 import org.boragegap.standin.LogStandin;
@@ -102,8 +102,8 @@
     private static List<Standin> targets(CommandLine line, List<Integer> ports, boolean workers)
             throws UsageException {
         ScheduledExecutorService timer = Executors.newScheduledThreadPool(2);
-        Need capacity =
-                new Need(
+        Resources capacity =
+                new Resources(
                         (int) number(line, "cpu-millis", 16_000),
                         (int) number(line, "memory-mb", 32_768),
                         (int) number(line, "accelerators", 0));
--- a/app/src/test/java/org/boragegap/app/ProcessDeployment.java
+++ b/app/src/test/java/org/boragegap/app/ProcessDeployment.java
@@ -17,7 +17,7 @@
 import java.util.concurrent.Callable;
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Collectors;
-import org.boragegap.core.job.Need;
+import org.boragegap.core.job.Resources;
 import org.boragegap.core.membership.ListedVm;
 import org.boragegap.core.membership.VmKind;
 import org.boragegap.platform.PlatformJson;
@@ -30,7 +30,7 @@
  */
 final class ProcessDeployment {
     private static final String HOST = "127.0.0.1";
-    private static final Need WORKER = new Need(64_000, 65_536, 0);
+    private static final Resources WORKER = new Resources(64_000, 65_536, 0);
     private static final int WORKER_SLOTS = 64;
     private static final int MINION_SLOTS = 8;
     private static final long PATIENCE_MS = 30_000;
@@ -86,7 +86,7 @@
                                 domain,
                                 VmKind.MINION,
                                 "catalogue",
-                                Need.NONE,
+                                Resources.NONE,
                                 MINION_SLOTS));
             }
             for (int i = 0; i < entriesEach; i++) {
@@ -95,7 +95,13 @@
                 mEntries.add(entry);
                 vms.add(
                         new ListedVm(
-                                entry.mPeer, name(domain), VmKind.ENTRY, "", false, Need.NONE, 0));
+                                entry.mPeer,
+                                name(domain),
+                                VmKind.ENTRY,
+                                "",
+                                false,
+                                Resources.NONE,
+                                0));
             }
         }
         try {
@@ -117,7 +123,7 @@
     }
 
     private static ListedVm target(
-            int port, int domain, VmKind kind, String service, Need capacity, int slots) {
+            int port, int domain, VmKind kind, String service, Resources capacity, int slots) {
         return new ListedVm(HOST + ":" + port, name(domain), kind, service, false, capacity, slots);
     }
 
--- a/bench/src/main/java/org/boragegap/bench/ClaimBenchmark.java
+++ b/bench/src/main/java/org/boragegap/bench/ClaimBenchmark.java
@@ -46,21 +46,21 @@
     public int mKept;
 
     private final Map<String, ClaimProtocol> mProtocols = new HashMap<>();
-    private final List<Member> mAll = new ArrayList<>();
+    private final List<Member> mMemberList = new ArrayList<>();
     private long mNextId;
 
     /** Installs one view at all members and fills their memory. */
     @Setup
     public void setUp() {
         for (int i = 0; i < mMembers; i++) {
-            mAll.add(new Member("vm" + i + ":1", 1));
+            mMemberList.add(new Member("vm" + i + ":1", 1));
         }
-        for (Member member : mAll) {
+        for (Member member : mMemberList) {
             ClaimProtocol protocol = ClaimProtocol.create(member, "fd", LIMITS, () -> 1);
             mProtocols.put(member.address(), protocol);
             install(protocol, view(1, 6, 0, List.of(member)), 0);
             if (mMembers > 1) {
-                install(protocol, view(2, 7, 6, mAll), 1);
+                install(protocol, view(2, 7, 6, mMemberList), 1);
             }
         }
         for (int i = 0; i < mKept; i++) {
@@ -85,7 +85,7 @@
         long nowMs = number * LIMITS.keepMs() / mKept;
         ClockReading clock = new ClockReading(1, nowMs);
         List<ClaimAction> out = new ArrayList<>();
-        Member self = mAll.get(0);
+        Member self = mMemberList.get(0);
         ClaimKey key = ClaimKey.of("id" + number, nowMs);
         mProtocols.get(self.address()).want(key, nowMs, 1, clock, out);
         for (ClaimAction action : out) {
--- a/bench/src/main/java/org/boragegap/bench/PlacementBenchmark.java
+++ b/bench/src/main/java/org/boragegap/bench/PlacementBenchmark.java
@@ -15,8 +15,8 @@
 import org.boragegap.core.dispatch.DispatchSettings;
 import org.boragegap.core.dispatch.Dispatcher;
 import org.boragegap.core.dispatch.Event;
-import org.boragegap.core.job.Need;
 import org.boragegap.core.job.Outcome;
+import org.boragegap.core.job.Resources;
 import org.boragegap.core.job.Submission;
 import org.boragegap.core.job.SubmissionId;
 import org.boragegap.core.job.TaskSpec;
@@ -43,8 +43,8 @@
 @Fork(1)
 public class PlacementBenchmark {
     private static final String DOMAIN = "fd";
-    private static final Need CAPACITY = new Need(16_000, 32_768, 2);
-    private static final Need NEED = new Need(1_000, 512, 0);
+    private static final Resources CAPACITY = new Resources(16_000, 32_768, 2);
+    private static final Resources NEED = new Resources(1_000, 512, 0);
     private static final int IN_FLIGHT = 100;
 
     /** How many workers this VM places on. */
@@ -55,7 +55,7 @@
     @Param({"1", "180"})
     public int mTeams;
 
-    private final Deque<Long> mRunning = new ArrayDeque<>();
+    private final Deque<Long> mRunningAttempts = new ArrayDeque<>();
     private Dispatcher mDispatcher;
     private long mNextId;
 
@@ -72,13 +72,13 @@
         for (int i = 0; i < mWorkers; i++) {
             vms.add(new ListedVm("w:" + i, DOMAIN, VmKind.WORKER, "", false, CAPACITY, 64));
         }
-        on(new Event.VmsListed(vms));
+        handle(new Event.VmsListed(vms));
         for (int i = 0; i < IN_FLIGHT; i++) {
             submit();
         }
     }
 
-    private List<Action> on(Event event) {
+    private List<Action> handle(Event event) {
         List<Action> actions = new ArrayList<>();
         mDispatcher.on(event, new ClockReading(mNextId / 1_000, mNextId / 1_000), actions);
         return actions;
@@ -99,9 +99,9 @@
                         List.of(new TaskSpec(0, NEED, 100, "")),
                         1);
         CallerRef caller = new CallerRef.HttpCaller(number);
-        for (Action action : on(new Event.Submitted(caller, submission, true, 0))) {
+        for (Action action : handle(new Event.Submitted(caller, submission, true, 0))) {
             if (action instanceof Action.Start start) {
-                mRunning.add(start.attempt());
+                mRunningAttempts.add(start.attempt());
             }
         }
     }
@@ -110,6 +110,8 @@
     @Benchmark
     public void submitPlaceAndEnd() {
         submit();
-        on(new Event.AttemptEnded(mRunning.poll(), new Outcome.Succeeded("r", 100, NEED)));
+        handle(
+                new Event.AttemptEnded(
+                        mRunningAttempts.poll(), new Outcome.Succeeded("r", 100, NEED)));
     }
 }
--- a/core/src/main/java/org/boragegap/core/bundle/BundleChain.java
+++ b/core/src/main/java/org/boragegap/core/bundle/BundleChain.java
@@ -14,19 +14,19 @@
  * bundle that is replayed or arrives late is void.
  */
 public final class BundleChain {
-    private static final int KEPT_VERDICTS = 256;
+    private static final int MAX_KEPT_RESULTS = 256;
     private static final String ACCEPTED = "accepted";
 
     private final long mRetentionMs;
     private final ReadWindow<BundleRecord> mWindow = ReadWindow.create();
     private Optional<CheckedBundle> mLogHead = Optional.empty();
-    private Optional<CheckedBundle> mInForce = Optional.empty();
-    private long mSinceWallMs;
-    private final Map<String, String> mVerdicts =
+    private Optional<CheckedBundle> mActive = Optional.empty();
+    private long mActiveSinceWallMs;
+    private final Map<String, String> mPublicationResults =
             new LinkedHashMap<>() {
                 @Override
                 protected boolean removeEldestEntry(Map.Entry<String, String> eldest) {
-                    return size() > KEPT_VERDICTS;
+                    return size() > MAX_KEPT_RESULTS;
                 }
             };
 
@@ -44,13 +44,13 @@
     }
 
     /** The bundle in force. */
-    public Optional<CheckedBundle> inForce() {
-        return mInForce;
+    public Optional<CheckedBundle> active() {
+        return mActive;
     }
 
     /** Its version, 0 when there is none. */
     public long version() {
-        return versionOf(mInForce);
+        return versionOf(mActive);
     }
 
     private static long versionOf(Optional<CheckedBundle> bundle) {
@@ -58,40 +58,40 @@
     }
 
     /** Wall-clock time since which it is in force here. */
-    public long sinceWallMs() {
-        return mSinceWallMs;
+    public long activeSinceWallMs() {
+        return mActiveSinceWallMs;
     }
 
     /** True when the bundle in force was read from the log here, and not only told by a peer. */
-    public boolean inForceFromLog() {
+    public boolean activeFromLog() {
         return mLogHead.isPresent() && versionOf(mLogHead) == version();
     }
 
     /** What the bundle in force configures. */
     public BundleContent content() {
-        return mInForce.flatMap(CheckedBundle::content).orElse(BundleContent.EMPTY);
+        return mActive.flatMap(CheckedBundle::content).orElse(BundleContent.EMPTY);
     }
 
     /** What became of a publication that was read here; empty when it was not. */
-    public Optional<String> verdict(String publication) {
-        return Optional.ofNullable(mVerdicts.get(publication));
+    public Optional<String> publicationResult(String publication) {
+        return Optional.ofNullable(mPublicationResults.get(publication));
     }
 
     /** True for a verdict that says that the publication took effect. */
-    public static boolean accepted(String verdict) {
+    public static boolean isAccepted(String verdict) {
         return verdict.equals(ACCEPTED);
     }
 
     /** Tells from which offset on everything has been read. */
-    public void readFrom(long firstOffset, long nowMs) {
-        if (mWindow.readFrom(firstOffset, nowMs)) {
+    public void advanceFirstOffset(long firstOffset, long nowMs) {
+        if (mWindow.advanceFirstOffset(firstOffset, nowMs)) {
             mLogHead = Optional.empty();
         }
     }
 
     /** Takes a record in log order; true when another bundle is in force now. */
     public boolean apply(BundleRecord record, long wallMs) {
-        mWindow.forgetBefore(record.appendedMs() - mRetentionMs);
+        mWindow.removeBefore(record.appendedMs() - mRetentionMs);
         mWindow.add(record);
         if (record.kind() == BundleRecord.Kind.STATED) {
             return applyStatement(record, wallMs);
@@ -104,20 +104,20 @@
         if (checked.content().isEmpty() || checked.bundle().version() <= version()) {
             return false;
         }
-        mInForce = Optional.of(checked);
-        mSinceWallMs = wallMs;
+        mActive = Optional.of(checked);
+        mActiveSinceWallMs = wallMs;
         return true;
     }
 
     private boolean applyStatement(BundleRecord record, long wallMs) {
         CheckedBundle checked = record.bundle();
         boolean newer = checked.bundle().version() > versionOf(mLogHead);
-        if (!newer || checked.content().isEmpty() || !mWindow.covers(record.asOf())) {
+        if (!newer || checked.content().isEmpty() || !mWindow.isCompleteAfter(record.asOf())) {
             return false;
         }
         mLogHead = Optional.of(checked);
         boolean changed = adopt(checked, wallMs);
-        for (BundleRecord since : mWindow.since(record.asOf())) {
+        for (BundleRecord since : mWindow.recordsAfter(record.asOf())) {
             if (since.kind() == BundleRecord.Kind.PUBLISHED) {
                 changed |= applyPublication(since, wallMs);
             }
@@ -127,9 +127,9 @@
 
     private boolean applyPublication(BundleRecord record, long wallMs) {
         CheckedBundle checked = record.bundle();
-        Optional<String> objection = objection(checked);
+        Optional<String> objection = rejectionReason(checked);
         // The first verdict stands: the same publication sent again is void, and was decided on.
-        mVerdicts.putIfAbsent(checked.bundle().publication(), objection.orElse(ACCEPTED));
+        mPublicationResults.putIfAbsent(checked.bundle().publication(), objection.orElse(ACCEPTED));
         if (objection.isPresent()) {
             return false;
         }
@@ -137,14 +137,14 @@
         return adopt(checked, wallMs);
     }
 
-    private Optional<String> objection(CheckedBundle checked) {
+    private Optional<String> rejectionReason(CheckedBundle checked) {
         Bundle bundle = checked.bundle();
         if (checked.content().isEmpty()) {
             return Optional.of(checked.problem());
         }
         if (mLogHead.isEmpty()) {
             boolean first = bundle.version() == 1 && bundle.parent().isEmpty();
-            boolean follows = first && mWindow.newestIsAlone();
+            boolean follows = first && mWindow.newestWasOnlyRecord();
             return follows ? Optional.empty() : Optional.of("what is in force is not known here");
         }
         if (bundle.version() <= versionOf(mLogHead)) {
--- a/core/src/main/java/org/boragegap/core/bundle/BundleContent.java
+++ b/core/src/main/java/org/boragegap/core/bundle/BundleContent.java
@@ -11,25 +11,25 @@
  * @param kinds rules by kind of task
  */
 public record BundleContent(Map<String, TeamQuota> teams, Map<String, KindRule> kinds) {
-    private static final int MOST_TEAMS = 10_000;
+    private static final int MAX_TEAMS = 10_000;
 
     /** Configures nothing. */
     public static final BundleContent EMPTY = new BundleContent(Map.of(), Map.of());
 
     /** The team's quota. */
-    public TeamQuota team(String team) {
+    public TeamQuota teamQuota(String team) {
         return teams.getOrDefault(team, TeamQuota.UNLIMITED);
     }
 
     /** The kind's rule. */
-    public KindRule kind(String kind) {
+    public KindRule kindRule(String kind) {
         return kinds.getOrDefault(kind, KindRule.DEFAULT);
     }
 
     /** Why this content can't be applied, if it can't; the same on every process. */
     public Optional<String> problem() {
-        if (teams.size() > MOST_TEAMS) {
-            return Optional.of("more than " + MOST_TEAMS + " teams");
+        if (teams.size() > MAX_TEAMS) {
+            return Optional.of("more than " + MAX_TEAMS + " teams");
         }
         for (Map.Entry<String, TeamQuota> entry : teams.entrySet()) {
             TeamQuota quota = entry.getValue();
--- a/core/src/main/java/org/boragegap/core/bundle/BundleRecord.java
+++ b/core/src/main/java/org/boragegap/core/bundle/BundleRecord.java
@@ -1,6 +1,6 @@
 package org.boragegap.core.bundle;
 
-import org.boragegap.core.log.LogItem;
+import org.boragegap.core.log.LogRecord;
 
 /**
  * A bundle as read from the log.
@@ -12,7 +12,7 @@
  * @param bundle the bundle with the result of the checks
  */
 public record BundleRecord(long offset, long appendedMs, Kind kind, long asOf, CheckedBundle bundle)
-        implements LogItem {
+        implements LogRecord {
 
     /** How a record takes part in the order. */
     public enum Kind {
--- a/core/src/main/java/org/boragegap/core/bundle/CheckedBundle.java
+++ b/core/src/main/java/org/boragegap/core/bundle/CheckedBundle.java
@@ -12,12 +12,12 @@
 public record CheckedBundle(Bundle bundle, Optional<BundleContent> content, String problem) {
 
     /** An acceptable bundle. */
-    public static CheckedBundle good(Bundle bundle, BundleContent content) {
+    public static CheckedBundle valid(Bundle bundle, BundleContent content) {
         return new CheckedBundle(bundle, Optional.of(content), "");
     }
 
     /** A bundle that is not acceptable. */
-    public static CheckedBundle bad(Bundle bundle, String problem) {
+    public static CheckedBundle invalid(Bundle bundle, String problem) {
         return new CheckedBundle(bundle, Optional.empty(), problem);
     }
 }
--- a/core/src/main/java/org/boragegap/core/claim/LoggedView.java
+++ b/core/src/main/java/org/boragegap/core/claim/LoggedView.java
@@ -1,6 +1,6 @@
 package org.boragegap.core.claim;
 
-import org.boragegap.core.log.LogItem;
+import org.boragegap.core.log.LogRecord;
 
 /**
  * A view record as read from the log.
@@ -11,4 +11,4 @@
  * @param ageMs how long before the read it was appended, by the log's clock
  */
 public record LoggedView(long offset, ViewRecord record, long appendedMs, long ageMs)
-        implements LogItem {}
+        implements LogRecord {}
--- a/core/src/main/java/org/boragegap/core/claim/ViewLog.java
+++ b/core/src/main/java/org/boragegap/core/claim/ViewLog.java
@@ -42,7 +42,7 @@
 
     /** True when no view record at all is left that this reader has seen. */
     boolean blank() {
-        return mWindow.blank();
+        return mWindow.isEmpty();
     }
 
     /**
@@ -50,7 +50,7 @@
      * the log's retention before they were read here: what followed the head is unknown.
      */
     void readFrom(long firstOffset, long nowMs) {
-        if (mWindow.readFrom(firstOffset, nowMs)) {
+        if (mWindow.advanceFirstOffset(firstOffset, nowMs)) {
             mHead = Optional.empty();
             mHeadFromLog = false;
         }
@@ -58,7 +58,7 @@
 
     /** Forgets records that have left the log, for {@link #blank()}. */
     void forgetBefore(long appendedMs) {
-        mWindow.forgetBefore(appendedMs);
+        mWindow.removeBefore(appendedMs);
     }
 
     /** Applies a record; true when it made or confirmed the head. */
@@ -114,7 +114,7 @@
 
     private boolean follows(DomainView view, long appendedMs) {
         if (view.parentUid() == DomainView.NO_PARENT) {
-            boolean free = mHead.isEmpty() ? mWindow.newestIsAlone() : lapsedAt(appendedMs);
+            boolean free = mHead.isEmpty() ? mWindow.newestWasOnlyRecord() : lapsedAt(appendedMs);
             return free && prompt(view, appendedMs) && view.number() > mFloor;
         }
         return mHead.isPresent()
@@ -136,7 +136,7 @@
             return confirm(logged);
         }
         boolean newer = mHead.isEmpty() || view.number() > mHead.get().number();
-        boolean known = mWindow.covers(logged.record().asOf());
+        boolean known = mWindow.isCompleteAfter(logged.record().asOf());
         if (!newer || !known || !mayFollowFloor(view)) {
             return false;
         }
@@ -157,7 +157,7 @@
     private void restartFrom(LoggedView statement) {
         install(statement.record().view(), statement.appendedMs());
         mHeadFromLog = true;
-        for (LoggedView logged : mWindow.since(statement.record().asOf())) {
+        for (LoggedView logged : mWindow.recordsAfter(statement.record().asOf())) {
             if (logged.record().kind() == ViewRecord.Kind.PROPOSED) {
                 applyProposal(logged);
             }
--- a/core/src/main/java/org/boragegap/core/dispatch/Admission.java
+++ b/core/src/main/java/org/boragegap/core/dispatch/Admission.java
@@ -43,30 +43,30 @@
         if (impossible.isPresent()) {
             return impossible;
         }
-        long spread = submission.id().key().low();
+        long spread = submission.id().claimKey().low();
         double waitMs = expectedWaitMs(JobBoard.serviceOf(submission), clock);
         if (mBacklog.tasks() + submission.tasks().size() > mSettings.maxQueuedTasks()) {
-            return Optional.of(notRun("the queue is full", RetryAfter.afterMs(waitMs, spread)));
+            return Optional.of(notRun("the queue is full", RetryAfter.delayMs(waitMs, spread)));
         }
-        if (!mTargets.knows(JobBoard.serviceOf(submission))) {
+        if (!mTargets.hasTargets(JobBoard.serviceOf(submission))) {
             return Optional.of(
-                    notRun("no target is known for it", RetryAfter.afterMs(waitMs, spread)));
+                    notRun("no target is known for it", RetryAfter.delayMs(waitMs, spread)));
         }
         double finishMs = clock.wallMs() + waitMs + longestTaskMs(submission);
         if (mSettings.refuseHopeless() && finishMs > submission.deadlineMs()) {
             return Optional.of(
-                    notRun("the deadline can't be met", RetryAfter.afterMs(waitMs, spread)));
+                    notRun("the deadline can't be met", RetryAfter.delayMs(waitMs, spread)));
         }
         return Optional.empty();
     }
 
     private Optional<Answer.Failed> impossible(Submission submission) {
-        if (mBundle.get().team(submission.team()).maxRunning() == 0) {
+        if (mBundle.get().teamQuota(submission.team()).maxRunning() == 0) {
             return Optional.of(impossible("the team's quota is zero"));
         }
         String service = JobBoard.serviceOf(submission);
         for (TaskSpec task : submission.tasks()) {
-            if (mTargets.knows(service) && !mTargets.everFits(service, task.need())) {
+            if (mTargets.hasTargets(service) && !mTargets.canEverFit(service, task.need())) {
                 return Optional.of(
                         impossible("task " + task.index() + " needs more than any worker has"));
             }
@@ -85,7 +85,7 @@
     /** Run time of what is queued, spread over the slots there are. */
     double expectedWaitMs(String service, ClockReading clock) {
         double slots =
-                (double) mTargets.slots(service, clock.monotonicMs())
+                (double) mTargets.totalSlots(service, clock.monotonicMs())
                         / (1 + mSiblings.get().size());
         return mBacklog.workMs(service) / Math.max(1, slots);
     }
@@ -93,7 +93,7 @@
     private double longestTaskMs(Submission submission) {
         double longest = 0;
         for (TaskSpec task : submission.tasks()) {
-            longest = Math.max(longest, mStatistics.expectedMs(submission.kind(), task));
+            longest = Math.max(longest, mStatistics.estimatedMs(submission.kind(), task));
         }
         return longest;
     }
--- a/core/src/main/java/org/boragegap/core/dispatch/BundleCourier.java
+++ b/core/src/main/java/org/boragegap/core/dispatch/BundleCourier.java
@@ -36,7 +36,7 @@
     }
 
     void onLogRead(LogBatch batch, List<BundleRecord> records, ClockReading clock) {
-        mChain.readFrom(batch.firstOffset(), batch.nowMs());
+        mChain.advanceFirstOffset(batch.firstOffset(), batch.nowMs());
         for (BundleRecord record : records) {
             mChain.apply(record, clock.wallMs());
             if (record.bundle().bundle().version() == mChain.version()) {
@@ -70,19 +70,19 @@
     void onVersionTold(long link, long version, List<Action> out) {
         if (version < mChain.version()) {
             mCounters.add(Counters.Name.BUNDLES_PASSED);
-            out.add(new Action.GiveBundle(link, mChain.inForce().orElseThrow().bundle()));
+            out.add(new Action.GiveBundle(link, mChain.active().orElseThrow().bundle()));
         }
     }
 
     /** The log keeps records for a limited time, so the bundle in force is stated again. */
     private void restate(ClockReading clock, List<Action> out) {
         boolean due = clock.monotonicMs() - mStatedMs >= mLimits.restateMs();
-        if (!due || !mChain.inForceFromLog()) {
+        if (!due || !mChain.activeFromLog()) {
             return;
         }
         mStatedMs = clock.monotonicMs();
         mCounters.add(Counters.Name.APPENDS);
-        Bundle bundle = mChain.inForce().orElseThrow().bundle();
+        Bundle bundle = mChain.active().orElseThrow().bundle();
         out.add(new Action.RestateBundle(bundle, mReadUpTo));
     }
 }
--- a/core/src/main/java/org/boragegap/core/dispatch/Dispatcher.java
+++ b/core/src/main/java/org/boragegap/core/dispatch/Dispatcher.java
@@ -53,7 +53,7 @@
                 ClaimProtocol.create(self, settings.domain(), limits, () -> 1 | random.nextLong());
         mBundles = new BundleCourier(settings.domains(), self.address(), limits, mCounters);
         mTargets = TargetPool.create(settings.placement(), random);
-        mTargets.own(this::owns);
+        mTargets.setOwned(this::owns);
         mJobs =
                 new JobBoard(
                         self.incarnation(),
@@ -189,7 +189,7 @@
                         .map(target -> TargetBelief.of(target, owns(target.target())))
                         .toList(),
                 mBundles.chain().version(),
-                mBundles.chain().sinceWallMs(),
+                mBundles.chain().activeSinceWallMs(),
                 mCounters.all());
     }
 
@@ -221,7 +221,7 @@
         }
         mOwnersViewUid = uid;
         mOwners.clear();
-        mTargets.own(this::owns);
+        mTargets.setOwned(this::owns);
     }
 
     /** Each target belongs to one member of the view, which alone accounts for its room. */
@@ -233,7 +233,7 @@
         String owner = mOwners.get(target.address());
         if (owner == null) {
             List<String> members = view.get().members().stream().map(Member::address).toList();
-            owner = Ownership.of(target.address(), members).orElse(mSelf.address());
+            owner = Ownership.owner(target.address(), members).orElse(mSelf.address());
             mOwners.put(target.address(), owner);
         }
         return owner.equals(mSelf.address());
@@ -263,7 +263,7 @@
 
     private void releaseClaim(SubmissionId id) {
         if (id.minter().isEmpty()) {
-            mClaims.release(id.key(), mClaimActions);
+            mClaims.release(id.claimKey(), mClaimActions);
         }
     }
 
--- a/core/src/main/java/org/boragegap/core/dispatch/Intake.java
+++ b/core/src/main/java/org/boragegap/core/dispatch/Intake.java
@@ -151,7 +151,7 @@
         if (id.domain().isPresent()) {
             return id.domain().filter(mDomains::contains);
         }
-        return Ownership.of(id.text(), mDomains);
+        return Ownership.owner(id.text(), mDomains);
     }
 
     private void forwardHome(
@@ -188,7 +188,7 @@
 
     private void claim(Event.Submitted event, ClockReading clock, List<Action> out) {
         Submission submission = event.submission();
-        ClaimKey key = submission.id().key();
+        ClaimKey key = submission.id().claimKey();
         Waiting waiting = mWaiting.get(key);
         if (waiting == null) {
             waiting = new Waiting(submission, event.hops());
@@ -225,7 +225,7 @@
         Submission submission = waiting.mSubmission;
         Optional<Answer.Failed> objection = mJobs.objection(submission, clock);
         if (objection.isPresent()) {
-            mClaims.release(submission.id().key(), mClaimActions);
+            mClaims.release(submission.id().claimKey(), mClaimActions);
             mReplies.replyAll(waiting.mCallers, submission, objection.get(), out);
             return;
         }
--- a/core/src/main/java/org/boragegap/core/dispatch/JobBoard.java
+++ b/core/src/main/java/org/boragegap/core/dispatch/JobBoard.java
@@ -14,8 +14,8 @@
 import org.boragegap.core.bundle.BundleContent;
 import org.boragegap.core.job.Answer;
 import org.boragegap.core.job.FailureKind;
-import org.boragegap.core.job.Need;
 import org.boragegap.core.job.Outcome;
+import org.boragegap.core.job.Resources;
 import org.boragegap.core.job.Submission;
 import org.boragegap.core.job.SubmissionId;
 import org.boragegap.core.job.TaskSpec;
@@ -36,7 +36,7 @@
     private static final long LEAST_PATIENCE_MS = 1_000;
     private static final double PATIENCE_FACTOR = 5;
 
-    private record Attempt(Job job, TaskSpec task, Placer.Place place) {}
+    private record Attempt(Job job, TaskSpec task, Placer.Allocation place) {}
 
     private record Deadline(long wallMs, Job job) {}
 
@@ -82,7 +82,7 @@
     }
 
     private boolean urgent(Job job) {
-        return mBundle.get().kind(job.submission().kind()).urgent();
+        return mBundle.get().kindRule(job.submission().kind()).urgent();
     }
 
     Optional<Job> find(SubmissionId id) {
@@ -102,7 +102,7 @@
     }
 
     int lent() {
-        return mPlacer.lent();
+        return mPlacer.lentSlots();
     }
 
     int jobsKept() {
@@ -126,7 +126,7 @@
     void add(Submission submission, List<CallerRef> callers, List<Action> out) {
         double workMs = 0;
         for (TaskSpec task : submission.tasks()) {
-            workMs += mStatistics.expectedMs(submission.kind(), task);
+            workMs += mStatistics.estimatedMs(submission.kind(), task);
         }
         Job job = new Job(submission, workMs, mNextSequence++);
         mJobs.put(submission.id().text(), job);
@@ -200,8 +200,8 @@
 
     private boolean withinQuota(Job job) {
         String team = job.submission().team();
-        TeamQuota quota = mBundle.get().team(team);
-        int share = quota.shareOf(1 + mSiblings.get().size());
+        TeamQuota quota = mBundle.get().teamQuota(team);
+        int share = quota.sharePerVm(1 + mSiblings.get().size());
         return mRunningByTeam.getOrDefault(team, 0) < share;
     }
 
@@ -212,8 +212,8 @@
         }
         TaskSpec task = next.get();
         Submission submission = job.submission();
-        Need need = mStatistics.need(submission.kind(), task);
-        Optional<Placer.Place> place =
+        Resources need = mStatistics.estimatedNeed(submission.kind(), task);
+        Optional<Placer.Allocation> place =
                 mPlacer.place(serviceOf(submission), need, job.avoided(task), clock.monotonicMs());
         if (place.isEmpty()) {
             return false;
@@ -223,17 +223,17 @@
     }
 
     private void launch(
-            Job job, TaskSpec task, Placer.Place place, ClockReading clock, List<Action> out) {
+            Job job, TaskSpec task, Placer.Allocation place, ClockReading clock, List<Action> out) {
         long id = mNextAttempt++;
         Submission submission = job.submission();
-        double workMs = mStatistics.expectedMs(submission.kind(), task);
+        double workMs = mStatistics.estimatedMs(submission.kind(), task);
         mBacklog.remove(serviceOf(submission), 1, workMs);
         job.started(task, id);
         mAttempts.put(id, new Attempt(job, task, place));
         mRunningByTeam.merge(submission.team(), 1, Integer::sum);
-        mQueue.served(job, workMs, mBundle.get().team(submission.team()).weight());
+        mQueue.served(job, workMs, mBundle.get().teamQuota(submission.team()).weight());
         if (job.avoided(task).isEmpty()) {
-            mRetries.onFirstTry();
+            mRetries.onFirstAttempt();
         }
         mCounters.add(Counters.Name.STARTS);
         long startByMs = clock.monotonicMs() + mSettings.startGraceMs();
@@ -314,7 +314,7 @@
 
     private void requeue(Job job, TaskSpec task) {
         job.requeue(task);
-        double workMs = mStatistics.expectedMs(job.submission().kind(), task);
+        double workMs = mStatistics.estimatedMs(job.submission().kind(), task);
         mBacklog.add(serviceOf(job.submission()), 1, workMs);
         mQueue.requeued(job);
     }
@@ -335,10 +335,10 @@
     }
 
     private Answer givenUp(Job job, String reason, ClockReading clock) {
-        long spread = job.submission().id().key().low();
+        long spread = job.submission().id().claimKey().low();
         double waitMs = mAdmission.expectedWaitMs(serviceOf(job.submission()), clock);
         FailureKind kind = job.mayHaveRun() ? FailureKind.MAY_HAVE_RUN : FailureKind.NOT_RUN;
-        return new Answer.Failed(kind, reason, RetryAfter.afterMs(waitMs, spread));
+        return new Answer.Failed(kind, reason, RetryAfter.delayMs(waitMs, spread));
     }
 
     private void finish(Job job, Answer answer, ClockReading clock, List<Action> out) {
--- a/core/src/main/java/org/boragegap/core/dispatch/Replies.java
+++ b/core/src/main/java/org/boragegap/core/dispatch/Replies.java
@@ -43,7 +43,7 @@
     }
 
     private static Answer soon(FailureKind kind, Submission submission, String reason) {
-        long spread = submission.id().key().low();
-        return new Answer.Failed(kind, reason, RetryAfter.afterMs(0, spread));
+        long spread = submission.id().claimKey().low();
+        return new Answer.Failed(kind, reason, RetryAfter.delayMs(0, spread));
     }
 }
--- a/core/src/main/java/org/boragegap/core/job/Outcome.java
+++ b/core/src/main/java/org/boragegap/core/job/Outcome.java
@@ -10,7 +10,7 @@
      * @param tookMs run time as the target reported it
      * @param used what the task used, as the target reported it
      */
-    record Succeeded(String result, long tookMs, Need used) implements Outcome {}
+    record Succeeded(String result, long tookMs, Resources used) implements Outcome {}
 
     /**
      * The task ran and failed.
--- a/core/src/main/java/org/boragegap/core/job/Need.java
+++ b/core/src/main/java/org/boragegap/core/job/Resources.java
@@ -7,29 +7,29 @@
  * @param memoryMb memory in MiB
  * @param accelerators whole accelerators
  */
-public record Need(int cpuMillis, int memoryMb, int accelerators) {
+public record Resources(int cpuMillis, int memoryMb, int accelerators) {
 
     /** Nothing at all. */
-    public static final Need NONE = new Need(0, 0, 0);
+    public static final Resources NONE = new Resources(0, 0, 0);
 
     /** Sum of both. */
-    public Need plus(Need other) {
-        return new Need(
+    public Resources plus(Resources other) {
+        return new Resources(
                 cpuMillis + other.cpuMillis,
                 memoryMb + other.memoryMb,
                 accelerators + other.accelerators);
     }
 
     /** Difference of both. */
-    public Need minus(Need other) {
-        return new Need(
+    public Resources minus(Resources other) {
+        return new Resources(
                 cpuMillis - other.cpuMillis,
                 memoryMb - other.memoryMb,
                 accelerators - other.accelerators);
     }
 
     /** True when this fits into {@code room} in every respect. */
-    public boolean fits(Need room) {
+    public boolean fitsInto(Resources room) {
         return cpuMillis <= room.cpuMillis
                 && memoryMb <= room.memoryMb
                 && accelerators <= room.accelerators;
--- a/core/src/main/java/org/boragegap/core/job/SubmissionId.java
+++ b/core/src/main/java/org/boragegap/core/job/SubmissionId.java
@@ -22,64 +22,65 @@
 public record SubmissionId(
         String text, long createdMs, Optional<String> domain, Optional<String> minter) {
 
-    private static final Pattern ALLOWED = Pattern.compile("[A-Za-z0-9._:~-]{1,128}");
+    private static final Pattern ALLOWED_TEXT = Pattern.compile("[A-Za-z0-9._:~-]{1,128}");
     private static final Pattern STRUCTURED =
             Pattern.compile("(?:([a-z0-9-]{1,32})~)?(?:([a-z0-9.:-]{1,64})~)?([0-9a-f-]{36})");
-    private static final int TIME_ORDERED = 7;
-    private static final int TIME_SHIFT = 16;
+    private static final int TIME_ORDERED_VERSION = 7;
+    private static final int TIMESTAMP_SHIFT = 16;
 
     /** What became of reading an id. */
-    public sealed interface Parsed {
+    public sealed interface ParseResult {
 
         /**
          * A usable id.
          *
          * @param id the id
          */
-        record Valid(SubmissionId id) implements Parsed {}
+        record Valid(SubmissionId id) implements ParseResult {}
 
         /**
          * Not an id.
          *
          * @param reason one line for the caller
          */
-        record Invalid(String reason) implements Parsed {}
+        record Invalid(String reason) implements ParseResult {}
     }
 
     /** Reads an id; {@code created} is needed when the text carries no time of its own. */
-    public static Parsed parse(String text, OptionalLong created) {
-        if (!ALLOWED.matcher(text).matches()) {
-            return new Parsed.Invalid("id must be 1 to 128 characters of A-Z a-z 0-9 . _ : ~ -");
+    public static ParseResult parse(String text, OptionalLong created) {
+        if (!ALLOWED_TEXT.matcher(text).matches()) {
+            return new ParseResult.Invalid(
+                    "id must be 1 to 128 characters of A-Z a-z 0-9 . _ : ~ -");
         }
         Matcher matcher = STRUCTURED.matcher(text);
         if (matcher.matches()) {
-            Optional<SubmissionId> id = structured(text, matcher);
+            Optional<SubmissionId> id = parseStructured(text, matcher);
             if (id.isPresent()) {
-                return new Parsed.Valid(id.get());
+                return new ParseResult.Valid(id.get());
             }
         }
         if (text.indexOf('~') >= 0) {
-            return new Parsed.Invalid("id with ~ must be domain~uuid, uuid of version 7");
+            return new ParseResult.Invalid("id with ~ must be domain~uuid, uuid of version 7");
         }
         if (created.isEmpty()) {
-            return new Parsed.Invalid(
+            return new ParseResult.Invalid(
                     "id must be a UUID of version 7, or come with its created time");
         }
-        return new Parsed.Valid(
+        return new ParseResult.Valid(
                 new SubmissionId(text, created.getAsLong(), Optional.empty(), Optional.empty()));
     }
 
-    private static Optional<SubmissionId> structured(String text, Matcher matcher) {
+    private static Optional<SubmissionId> parseStructured(String text, Matcher matcher) {
         UUID uuid;
         try {
             uuid = UUID.fromString(matcher.group(3));
         } catch (IllegalArgumentException e) {
             return Optional.empty();
         }
-        if (uuid.version() != TIME_ORDERED) {
+        if (uuid.version() != TIME_ORDERED_VERSION) {
             return Optional.empty();
         }
-        long createdMs = uuid.getMostSignificantBits() >>> TIME_SHIFT;
+        long createdMs = uuid.getMostSignificantBits() >>> TIMESTAMP_SHIFT;
         return Optional.of(
                 new SubmissionId(
                         text,
@@ -91,12 +92,12 @@
     /** An id that only the entry VM at {@code minter} may start. */
     public static SubmissionId mint(String domain, String minter, UUID uuid) {
         String text = domain + '~' + minter + '~' + uuid;
-        long createdMs = uuid.getMostSignificantBits() >>> TIME_SHIFT;
+        long createdMs = uuid.getMostSignificantBits() >>> TIMESTAMP_SHIFT;
         return new SubmissionId(text, createdMs, Optional.of(domain), Optional.of(minter));
     }
 
     /** Key of the claim on this id. */
-    public ClaimKey key() {
+    public ClaimKey claimKey() {
         return ClaimKey.of(text, createdMs);
     }
 }
--- a/core/src/main/java/org/boragegap/core/job/TaskSpec.java
+++ b/core/src/main/java/org/boragegap/core/job/TaskSpec.java
@@ -8,4 +8,4 @@
  * @param expectedMs declared run time in milliseconds
  * @param payload handed to the target as it is
  */
-public record TaskSpec(int index, Need need, long expectedMs, String payload) {}
+public record TaskSpec(int index, Resources need, long expectedMs, String payload) {}
--- a/core/src/main/java/org/boragegap/core/limit/RetryAfter.java
+++ b/core/src/main/java/org/boragegap/core/limit/RetryAfter.java
@@ -2,8 +2,8 @@
 
 /** Tells refused callers when to come back, spread out so that they don't all come at once. */
 public final class RetryAfter {
-    private static final long LEAST_MS = 200;
-    private static final long MOST_MS = 30_000;
+    private static final long MIN_MS = 200;
+    private static final long MAX_MS = 30_000;
 
     private RetryAfter() {}
 
@@ -13,8 +13,8 @@
      * @param waitMs estimated time until there is room
      * @param spread any number that differs among callers, such as a hash of the id
      */
-    public static long afterMs(double waitMs, long spread) {
-        long base = (long) Math.min(MOST_MS, Math.max(LEAST_MS, waitMs));
+    public static long delayMs(double waitMs, long spread) {
+        long base = (long) Math.min(MAX_MS, Math.max(MIN_MS, waitMs));
         return base + Math.floorMod(spread, base);
     }
 }
--- a/core/src/main/java/org/boragegap/core/limit/TeamQuota.java
+++ b/core/src/main/java/org/boragegap/core/limit/TeamQuota.java
@@ -12,7 +12,7 @@
     public static final TeamQuota UNLIMITED = new TeamQuota(Integer.MAX_VALUE, 1.0);
 
     /** The part of the quota that one of {@code vms} entry VMs may give out. */
-    public int shareOf(int vms) {
+    public int sharePerVm(int vms) {
         if (maxRunning == Integer.MAX_VALUE || maxRunning == 0) {
             return maxRunning;
         }
--- a/core/src/main/java/org/boragegap/core/log/LogItem.java
+++ b/core/src/main/java/org/boragegap/core/log/LogRecord.java
@@ -1,7 +1,7 @@
 package org.boragegap.core.log;
 
 /** A record with its place on the log. */
-public interface LogItem {
+public interface LogRecord {
 
     /** Its place in the log's order. */
     long offset();
--- a/core/src/main/java/org/boragegap/core/log/ReadWindow.java
+++ b/core/src/main/java/org/boragegap/core/log/ReadWindow.java
@@ -14,17 +14,17 @@
  *
  * @param <T> the kind of record that is kept
  */
-public final class ReadWindow<T extends LogItem> {
+public final class ReadWindow<T extends LogRecord> {
     private static final long NOTHING_READ = -1;
 
-    private final Deque<T> mKept = new ArrayDeque<>();
+    private final Deque<T> mRecords = new ArrayDeque<>();
     private long mFirstOffset = NOTHING_READ;
-    private long mKnownSinceMs;
+    private long mCompleteSinceMs;
 
     private ReadWindow() {}
 
     /** A window of a reader that has read nothing yet. */
-    public static <T extends LogItem> ReadWindow<T> create() {
+    public static <T extends LogRecord> ReadWindow<T> create() {
         return new ReadWindow<>();
     }
 
@@ -35,48 +35,48 @@
      * @param firstOffset first offset of the window
      * @param nowMs the log's time of the read
      */
-    public boolean readFrom(long firstOffset, long nowMs) {
+    public boolean advanceFirstOffset(long firstOffset, long nowMs) {
         if (firstOffset <= mFirstOffset) {
             return false;
         }
-        mKept.clear();
+        mRecords.clear();
         mFirstOffset = firstOffset;
-        mKnownSinceMs = firstOffset == 0 ? Long.MIN_VALUE : nowMs;
+        mCompleteSinceMs = firstOffset == 0 ? Long.MIN_VALUE : nowMs;
         return true;
     }
 
     /** Adds the next record. */
     public void add(T item) {
-        mKept.addLast(item);
+        mRecords.addLast(item);
     }
 
     /** Forgets records that have left the log. */
-    public void forgetBefore(long appendedMs) {
-        while (!mKept.isEmpty() && mKept.peekFirst().appendedMs() < appendedMs) {
-            mKept.pollFirst();
+    public void removeBefore(long appendedMs) {
+        while (!mRecords.isEmpty() && mRecords.peekFirst().appendedMs() < appendedMs) {
+            mRecords.pollFirst();
         }
     }
 
     /** True when no record is kept. */
-    public boolean blank() {
-        return mKept.isEmpty();
+    public boolean isEmpty() {
+        return mRecords.isEmpty();
     }
 
     /** True when every record after {@code asOf} has been read. */
-    public boolean covers(long asOf) {
+    public boolean isCompleteAfter(long asOf) {
         return asOf >= mFirstOffset - 1;
     }
 
     /** The kept records after an offset, in order. */
-    public List<T> since(long asOf) {
-        return mKept.stream().filter(item -> item.offset() > asOf).toList();
+    public List<T> recordsAfter(long asOf) {
+        return mRecords.stream().filter(item -> item.offset() > asOf).toList();
     }
 
     /**
      * True when the newest record is the only one that was on the log at its time. Only a reader
      * that was there before can tell: for a later one, another record may have left the log.
      */
-    public boolean newestIsAlone() {
-        return mKept.size() == 1 && mKept.peekFirst().appendedMs() >= mKnownSinceMs;
+    public boolean newestWasOnlyRecord() {
+        return mRecords.size() == 1 && mRecords.peekFirst().appendedMs() >= mCompleteSinceMs;
     }
 }
--- a/core/src/main/java/org/boragegap/core/membership/ListedVm.java
+++ b/core/src/main/java/org/boragegap/core/membership/ListedVm.java
@@ -1,6 +1,6 @@
 package org.boragegap.core.membership;
 
-import org.boragegap.core.job.Need;
+import org.boragegap.core.job.Resources;
 import org.boragegap.core.placement.Target;
 
 /**
@@ -20,7 +20,7 @@
         VmKind kind,
         String service,
         boolean leaving,
-        Need capacity,
+        Resources capacity,
         int slots) {
 
     /** This VM as a target; only for kinds that are targets. */
--- a/core/src/main/java/org/boragegap/core/placement/Borrower.java
+++ b/core/src/main/java/org/boragegap/core/placement/Borrower.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
-import org.boragegap.core.job.Need;
+import org.boragegap.core.job.Resources;
 
 /**
  * Borrows room on the siblings' targets when this VM's own are full.
@@ -16,19 +16,19 @@
  * it was served whole. Room that nothing waits for is given back, in batches.
  */
 public final class Borrower {
-    private static final long ASK_AGAIN_MS = 450;
-    private static final long ASK_PAUSE_MS = 50;
-    private static final int MOST_ASKED = 512;
+    private static final long REPEAT_REQUEST_MS = 450;
+    private static final long MIN_REQUEST_INTERVAL_MS = 50;
+    private static final int MAX_REQUESTED_SLOTS = 512;
 
     /** Room for one task at a time on a sibling's target. */
-    public static final class Slot {
+    public static final class BorrowedSlot {
         private final String mOwner;
         private final LoanMessage.Line mLine;
         private final long mUsableUntilMs;
-        private boolean mBlamed;
+        private boolean mTargetAtFault;
         private boolean mRecalled;
 
-        private Slot(String owner, LoanMessage.Line line, long usableUntilMs) {
+        private BorrowedSlot(String owner, LoanMessage.Line line, long usableUntilMs) {
             mOwner = owner;
             mLine = line;
             mUsableUntilMs = usableUntilMs;
@@ -40,22 +40,22 @@
         }
 
         private boolean usable(long nowMs) {
-            return !mBlamed && !mRecalled && nowMs < mUsableUntilMs;
+            return !mTargetAtFault && !mRecalled && nowMs < mUsableUntilMs;
         }
     }
 
-    private static final class Asking {
-        private long mAskedMs = Long.MIN_VALUE / 2;
-        private int mMissing;
+    private static final class SentRequest {
+        private long mSentMs = Long.MIN_VALUE / 2;
+        private int mOutstanding;
     }
 
-    private record AskKey(String owner, String service) {}
+    private record OwnerAndService(String owner, String service) {}
 
-    private record BackKey(String owner, long loanId) {}
+    private record LoanKey(String owner, long loanId) {}
 
-    private final Map<AskKey, Asking> mAskings = new HashMap<>();
-    private final Map<String, List<Slot>> mFree = new HashMap<>();
-    private final Map<AskKey, Integer> mRecalled = new HashMap<>();
+    private final Map<OwnerAndService, SentRequest> mSentRequests = new HashMap<>();
+    private final Map<String, List<BorrowedSlot>> mFreeSlots = new HashMap<>();
+    private final Map<OwnerAndService, Integer> mRecallCounts = new HashMap<>();
 
     private Borrower() {}
 
@@ -65,68 +65,72 @@
     }
 
     /** Asks siblings for room for tasks that wait. */
-    public void ask(
+    public void requestSlots(
             Set<String> siblings,
             String service,
-            Need need,
+            Resources need,
             int count,
             long nowMs,
             List<LoanAction> out) {
         for (String sibling : siblings) {
-            Asking asking =
-                    mAskings.computeIfAbsent(new AskKey(sibling, service), key -> new Asking());
-            long sinceMs = nowMs - asking.mAskedMs;
-            boolean stands = asking.mMissing > 0 && sinceMs < ASK_AGAIN_MS;
-            if (stands || sinceMs < ASK_PAUSE_MS) {
+            SentRequest asking =
+                    mSentRequests.computeIfAbsent(
+                            new OwnerAndService(sibling, service), key -> new SentRequest());
+            long sinceMs = nowMs - asking.mSentMs;
+            boolean stands = asking.mOutstanding > 0 && sinceMs < REPEAT_REQUEST_MS;
+            if (stands || sinceMs < MIN_REQUEST_INTERVAL_MS) {
                 continue;
             }
-            int share = Math.min(MOST_ASKED, (count + siblings.size() - 1) / siblings.size());
-            asking.mAskedMs = nowMs;
-            asking.mMissing = share;
+            int share =
+                    Math.min(MAX_REQUESTED_SLOTS, (count + siblings.size() - 1) / siblings.size());
+            asking.mSentMs = nowMs;
+            asking.mOutstanding = share;
             out.add(new LoanAction(sibling, new LoanMessage.Ask(service, need, share)));
         }
     }
 
     /** Takes what a sibling gives. */
     public void onGiven(String owner, LoanMessage.Given given, long nowMs) {
-        Asking asking = mAskings.get(new AskKey(owner, given.service()));
+        SentRequest asking = mSentRequests.get(new OwnerAndService(owner, given.service()));
         if (asking == null) {
             return;
         }
-        List<Slot> free = mFree.computeIfAbsent(given.service(), service -> new ArrayList<>());
+        List<BorrowedSlot> free =
+                mFreeSlots.computeIfAbsent(given.service(), service -> new ArrayList<>());
         for (LoanMessage.Line line : given.lines()) {
-            asking.mMissing -= line.count();
+            asking.mOutstanding -= line.count();
             // The term began when the sibling gave; it gave no earlier than it was asked.
-            long usableUntilMs = Math.min(nowMs, asking.mAskedMs) + line.termMs();
+            long usableUntilMs = Math.min(nowMs, asking.mSentMs) + line.termMs();
             for (int i = 0; i < line.count(); i++) {
-                free.add(new Slot(owner, line, usableUntilMs));
+                free.add(new BorrowedSlot(owner, line, usableUntilMs));
             }
         }
     }
 
     /** A sibling wants room back: what is free now, and what gets free next. */
     public void onRecall(String owner, LoanMessage.Recall recall) {
-        mRecalled.put(new AskKey(owner, recall.service()), recall.count());
-        for (Slot slot : mFree.getOrDefault(recall.service(), List.of())) {
-            heedRecall(recall.service(), slot);
+        mRecallCounts.put(new OwnerAndService(owner, recall.service()), recall.count());
+        for (BorrowedSlot slot : mFreeSlots.getOrDefault(recall.service(), List.of())) {
+            applyRecall(recall.service(), slot);
         }
     }
 
-    private void heedRecall(String service, Slot slot) {
-        AskKey key = new AskKey(slot.mOwner, service);
-        int left = mRecalled.getOrDefault(key, 0);
+    private void applyRecall(String service, BorrowedSlot slot) {
+        OwnerAndService key = new OwnerAndService(slot.mOwner, service);
+        int left = mRecallCounts.getOrDefault(key, 0);
         if (left > 0 && !slot.mRecalled) {
             slot.mRecalled = true;
-            mRecalled.put(key, left - 1);
+            mRecallCounts.put(key, left - 1);
         }
     }
 
     /** Takes a borrowed slot for a task, if one fits. */
-    public Optional<Slot> take(String service, Need need, Set<String> avoid, long nowMs) {
-        List<Slot> free = mFree.getOrDefault(service, List.of());
+    public Optional<BorrowedSlot> takeSlot(
+            String service, Resources need, Set<String> avoid, long nowMs) {
+        List<BorrowedSlot> free = mFreeSlots.getOrDefault(service, List.of());
         for (int i = free.size() - 1; i >= 0; i--) {
-            Slot slot = free.get(i);
-            boolean fits = need.fits(slot.mLine.need()) && slot.usable(nowMs);
+            BorrowedSlot slot = free.get(i);
+            boolean fits = need.fitsInto(slot.mLine.need()) && slot.usable(nowMs);
             if (fits && !avoid.contains(slot.target())) {
                 free.remove(i);
                 return Optional.of(slot);
@@ -136,38 +140,38 @@
     }
 
     /** The task on a slot ended; a slot on a target that failed it is not used again. */
-    public void free(String service, Slot slot, boolean blamed) {
-        slot.mBlamed |= blamed;
-        heedRecall(service, slot);
-        mFree.computeIfAbsent(service, name -> new ArrayList<>()).add(slot);
+    public void free(String service, BorrowedSlot slot, boolean blamed) {
+        slot.mTargetAtFault |= blamed;
+        applyRecall(service, slot);
+        mFreeSlots.computeIfAbsent(service, name -> new ArrayList<>()).add(slot);
     }
 
     /** Gives back what must not be used any more. */
-    public void giveBackUnusable(long nowMs, List<LoanAction> out) {
-        giveBack(mFree.keySet(), nowMs, out);
+    public void returnUnusable(long nowMs, List<LoanAction> out) {
+        returnUnneeded(mFreeSlots.keySet(), nowMs, out);
     }
 
     /** Gives back what nothing waits for, or what must not be used any more. */
-    public void giveBack(Set<String> servicesWithWork, long nowMs, List<LoanAction> out) {
-        Map<BackKey, int[]> backs = new HashMap<>();
-        for (Map.Entry<String, List<Slot>> entry : mFree.entrySet()) {
+    public void returnUnneeded(Set<String> servicesWithWork, long nowMs, List<LoanAction> out) {
+        Map<LoanKey, int[]> backs = new HashMap<>();
+        for (Map.Entry<String, List<BorrowedSlot>> entry : mFreeSlots.entrySet()) {
             boolean work = servicesWithWork.contains(entry.getKey());
-            for (Iterator<Slot> slots = entry.getValue().iterator(); slots.hasNext(); ) {
-                Slot slot = slots.next();
+            for (Iterator<BorrowedSlot> slots = entry.getValue().iterator(); slots.hasNext(); ) {
+                BorrowedSlot slot = slots.next();
                 if (work && slot.usable(nowMs)) {
                     continue;
                 }
                 slots.remove();
-                BackKey key = new BackKey(slot.mOwner, slot.mLine.loanId());
+                LoanKey key = new LoanKey(slot.mOwner, slot.mLine.loanId());
                 int[] counts = backs.computeIfAbsent(key, loan -> new int[2]);
                 counts[0]++;
-                counts[1] += slot.mBlamed ? 1 : 0;
+                counts[1] += slot.mTargetAtFault ? 1 : 0;
             }
         }
-        sendBacks(backs, out);
+        sendReturns(backs, out);
     }
 
-    private static void sendBacks(Map<BackKey, int[]> backs, List<LoanAction> out) {
+    private static void sendReturns(Map<LoanKey, int[]> backs, List<LoanAction> out) {
         Map<String, List<LoanMessage.Return>> byOwner = new HashMap<>();
         backs.forEach(
                 (key, counts) ->
@@ -179,6 +183,6 @@
 
     /** Slots that are borrowed and free now. */
     public int free() {
-        return mFree.values().stream().mapToInt(List::size).sum();
+        return mFreeSlots.values().stream().mapToInt(List::size).sum();
     }
 }
--- a/core/src/main/java/org/boragegap/core/placement/KindStatistics.java
+++ b/core/src/main/java/org/boragegap/core/placement/KindStatistics.java
@@ -2,7 +2,7 @@
 
 import java.util.HashMap;
 import java.util.Map;
-import org.boragegap.core.job.Need;
+import org.boragegap.core.job.Resources;
 import org.boragegap.core.job.TaskSpec;
 
 /**
@@ -12,13 +12,13 @@
  * deviations. Until enough was seen, the declaration stands.
  */
 public final class KindStatistics {
-    private static final int ENOUGH = 8;
+    private static final int MIN_SAMPLES = 8;
     private static final int MARGIN_DEVIATIONS = 2;
 
-    private static final class Series {
-        private static final double WEIGHT = 0.1;
+    private static final class MovingStatistics {
+        private static final double SMOOTHING_FACTOR = 0.1;
         private double mMean;
-        private double mDeviation;
+        private double mMeanDeviation;
         private long mCount;
 
         void add(double value) {
@@ -26,50 +26,52 @@
                 mMean = value;
                 return;
             }
-            mDeviation += WEIGHT * (Math.abs(value - mMean) - mDeviation);
-            mMean += WEIGHT * (value - mMean);
+            mMeanDeviation += SMOOTHING_FACTOR * (Math.abs(value - mMean) - mMeanDeviation);
+            mMean += SMOOTHING_FACTOR * (value - mMean);
         }
 
-        double upper() {
-            return mMean + MARGIN_DEVIATIONS * mDeviation;
+        double upperEstimate() {
+            return mMean + MARGIN_DEVIATIONS * mMeanDeviation;
         }
     }
 
-    private static final class Kind {
-        private final Series mTookMs = new Series();
-        private final Series mCpuMillis = new Series();
-        private final Series mMemoryMb = new Series();
+    private static final class KindSamples {
+        private final MovingStatistics mTookMs = new MovingStatistics();
+        private final MovingStatistics mCpuMillis = new MovingStatistics();
+        private final MovingStatistics mMemoryMb = new MovingStatistics();
     }
 
-    private final Map<String, Kind> mKinds = new HashMap<>();
+    private final Map<String, KindSamples> mKinds = new HashMap<>();
 
     /** Takes what a finished task took and used. */
-    public void add(String kind, long tookMs, Need used) {
-        Kind seen = mKinds.computeIfAbsent(kind, name -> new Kind());
+    public void add(String kind, long tookMs, Resources used) {
+        KindSamples seen = mKinds.computeIfAbsent(kind, name -> new KindSamples());
         seen.mTookMs.add(tookMs);
         seen.mCpuMillis.add(used.cpuMillis());
         seen.mMemoryMb.add(used.memoryMb());
     }
 
     /** Expected run time in milliseconds. */
-    public double expectedMs(String kind, TaskSpec task) {
-        Kind seen = mKinds.get(kind);
-        return known(seen) ? Math.max(1, seen.mTookMs.mMean) : Math.max(1, task.expectedMs());
+    public double estimatedMs(String kind, TaskSpec task) {
+        KindSamples seen = mKinds.get(kind);
+        return hasEnoughSamples(seen)
+                ? Math.max(1, seen.mTookMs.mMean)
+                : Math.max(1, task.expectedMs());
     }
 
     /** What to account for; accelerators are taken as declared, they are not shared. */
-    public Need need(String kind, TaskSpec task) {
-        Kind seen = mKinds.get(kind);
-        if (!known(seen) || seen.mCpuMillis.mMean <= 0) {
+    public Resources estimatedNeed(String kind, TaskSpec task) {
+        KindSamples seen = mKinds.get(kind);
+        if (!hasEnoughSamples(seen) || seen.mCpuMillis.mMean <= 0) {
             return task.need();
         }
-        return new Need(
-                (int) Math.ceil(seen.mCpuMillis.upper()),
-                (int) Math.ceil(seen.mMemoryMb.upper()),
+        return new Resources(
+                (int) Math.ceil(seen.mCpuMillis.upperEstimate()),
+                (int) Math.ceil(seen.mMemoryMb.upperEstimate()),
                 task.need().accelerators());
     }
 
-    private static boolean known(Kind seen) {
-        return seen != null && seen.mTookMs.mCount >= ENOUGH;
+    private static boolean hasEnoughSamples(KindSamples seen) {
+        return seen != null && seen.mTookMs.mCount >= MIN_SAMPLES;
     }
 }
--- a/core/src/main/java/org/boragegap/core/placement/Lender.java
+++ b/core/src/main/java/org/boragegap/core/placement/Lender.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
-import org.boragegap.core.job.Need;
+import org.boragegap.core.job.Resources;
 
 /**
  * Lends room on this VM's targets to its siblings.
@@ -19,52 +19,52 @@
  * margin are over.
  */
 public final class Lender {
-    private static final long ASK_STANDS_MS = 500;
+    private static final long REQUEST_VALID_MS = 500;
     private static final long TERM_MS = 3_000;
-    private static final long MARGIN_MS = 5_000;
-    private static final long RECALL_EVERY_MS = 200;
+    private static final long EXPIRY_MARGIN_MS = 5_000;
+    private static final long MIN_RECALL_INTERVAL_MS = 200;
 
     /** Leaves more numbers for each ms between the starts of two runs than can be lent in it. */
     private static final int INCARNATION_SHIFT = 20;
 
-    private record AskKey(String borrower, String service) {}
+    private record BorrowerAndService(String borrower, String service) {}
 
-    private static final class Standing {
+    private static final class PendingRequest {
         private final LoanMessage.Ask mAsk;
-        private final long mUntilMs;
-        private int mLeft;
+        private final long mExpiresMs;
+        private int mRemaining;
 
-        private Standing(LoanMessage.Ask ask, long untilMs) {
+        private PendingRequest(LoanMessage.Ask ask, long untilMs) {
             mAsk = ask;
-            mUntilMs = untilMs;
-            mLeft = ask.count();
+            mExpiresMs = untilMs;
+            mRemaining = ask.count();
         }
     }
 
     private static final class Loan {
         private final String mBorrower;
         private final TargetState mTarget;
-        private final Need mNeed;
-        private final long mEndsMs;
+        private final Resources mNeed;
+        private final long mExpiresMs;
         private int mCount;
 
-        private Loan(String borrower, TargetState target, Need need, long endsMs) {
+        private Loan(String borrower, TargetState target, Resources need, long endsMs) {
             mBorrower = borrower;
             mTarget = target;
             mNeed = need;
-            mEndsMs = endsMs;
+            mExpiresMs = endsMs;
         }
     }
 
     private final TargetPool mTargets;
-    private final Map<AskKey, Standing> mAsks = new LinkedHashMap<>();
+    private final Map<BorrowerAndService, PendingRequest> mPendingRequests = new LinkedHashMap<>();
     private final Map<Long, Loan> mLoans = new LinkedHashMap<>();
-    private long mNextLoan;
-    private long mRecalledMs = Long.MIN_VALUE / 2;
+    private long mNextLoanId;
+    private long mLastRecallMs = Long.MIN_VALUE / 2;
 
     private Lender(TargetPool targets, long firstLoan) {
         mTargets = targets;
-        mNextLoan = firstLoan;
+        mNextLoanId = firstLoan;
     }
 
     /**
@@ -78,7 +78,7 @@
     }
 
     /** How much is lent, in tasks at once. */
-    public int lent() {
+    public int lentSlots() {
         return mLoans.values().stream().mapToInt(loan -> loan.mCount).sum();
     }
 
@@ -89,54 +89,55 @@
             Set<String> ownWaits,
             long nowMs,
             List<LoanAction> out) {
-        AskKey key = new AskKey(borrower, ask.service());
-        mAsks.put(key, new Standing(ask, nowMs + ASK_STANDS_MS));
-        offer(ownWaits, nowMs, out);
+        BorrowerAndService key = new BorrowerAndService(borrower, ask.service());
+        mPendingRequests.put(key, new PendingRequest(ask, nowMs + REQUEST_VALID_MS));
+        servePending(ownWaits, nowMs, out);
     }
 
     /** Serves the asks that stand, as far as there is room that no own work waits for. */
-    private void offer(Set<String> ownWaits, long nowMs, List<LoanAction> out) {
-        Iterator<Map.Entry<AskKey, Standing>> asks = mAsks.entrySet().iterator();
+    private void servePending(Set<String> ownWaits, long nowMs, List<LoanAction> out) {
+        Iterator<Map.Entry<BorrowerAndService, PendingRequest>> asks =
+                mPendingRequests.entrySet().iterator();
         while (asks.hasNext()) {
-            Map.Entry<AskKey, Standing> entry = asks.next();
-            Standing standing = entry.getValue();
-            if (nowMs < standing.mUntilMs && !ownWaits.contains(entry.getKey().service())) {
-                give(entry.getKey().borrower(), standing, nowMs, out);
+            Map.Entry<BorrowerAndService, PendingRequest> entry = asks.next();
+            PendingRequest standing = entry.getValue();
+            if (nowMs < standing.mExpiresMs && !ownWaits.contains(entry.getKey().service())) {
+                grant(entry.getKey().borrower(), standing, nowMs, out);
             }
-            if (nowMs >= standing.mUntilMs || standing.mLeft == 0) {
+            if (nowMs >= standing.mExpiresMs || standing.mRemaining == 0) {
                 asks.remove();
             }
         }
     }
 
-    private void give(String borrower, Standing standing, long nowMs, List<LoanAction> out) {
+    private void grant(String borrower, PendingRequest standing, long nowMs, List<LoanAction> out) {
         LoanMessage.Ask ask = standing.mAsk;
         Map<TargetState, Loan> loans = new LinkedHashMap<>();
-        while (standing.mLeft > 0) {
+        while (standing.mRemaining > 0) {
             Optional<TargetState> target =
-                    mTargets.place(ask.service(), ask.need(), Set.of(), nowMs);
+                    mTargets.choose(ask.service(), ask.need(), Set.of(), nowMs);
             if (target.isEmpty()) {
                 break;
             }
             mTargets.onStarted(target.get(), ask.need());
             loans.computeIfAbsent(target.get(), state -> newLoan(borrower, state, ask, nowMs))
                     .mCount++;
-            standing.mLeft--;
+            standing.mRemaining--;
         }
         if (!loans.isEmpty()) {
-            out.add(new LoanAction(borrower, given(ask, loans)));
+            out.add(new LoanAction(borrower, registerLoans(ask, loans)));
         }
     }
 
     private static Loan newLoan(
             String borrower, TargetState target, LoanMessage.Ask ask, long nowMs) {
-        return new Loan(borrower, target, ask.need(), nowMs + TERM_MS + MARGIN_MS);
+        return new Loan(borrower, target, ask.need(), nowMs + TERM_MS + EXPIRY_MARGIN_MS);
     }
 
-    private LoanMessage.Given given(LoanMessage.Ask ask, Map<TargetState, Loan> loans) {
+    private LoanMessage.Given registerLoans(LoanMessage.Ask ask, Map<TargetState, Loan> loans) {
         List<LoanMessage.Line> lines = new ArrayList<>();
         for (Loan loan : loans.values()) {
-            long id = mNextLoan++;
+            long id = mNextLoanId++;
             mLoans.put(id, loan);
             String address = loan.mTarget.target().address();
             lines.add(new LoanMessage.Line(id, address, loan.mNeed, loan.mCount, TERM_MS));
@@ -166,12 +167,13 @@
 
     /** Wants as much room back as own work waits for. */
     public void recall(Map<String, Integer> ownWaiting, long nowMs, List<LoanAction> out) {
-        if (nowMs - mRecalledMs < RECALL_EVERY_MS) {
+        if (nowMs - mLastRecallMs < MIN_RECALL_INTERVAL_MS) {
             return;
         }
-        Map<AskKey, Integer> lent = new LinkedHashMap<>();
+        Map<BorrowerAndService, Integer> lent = new LinkedHashMap<>();
         for (Loan loan : mLoans.values()) {
-            AskKey key = new AskKey(loan.mBorrower, loan.mTarget.target().service());
+            BorrowerAndService key =
+                    new BorrowerAndService(loan.mBorrower, loan.mTarget.target().service());
             lent.merge(key, loan.mCount, Integer::sum);
         }
         Map<String, Integer> wanted = new HashMap<>(ownWaiting);
@@ -180,7 +182,7 @@
                     int back = Math.min(count, wanted.getOrDefault(key.service(), 0));
                     if (back > 0) {
                         wanted.merge(key.service(), -back, Integer::sum);
-                        mRecalledMs = nowMs;
+                        mLastRecallMs = nowMs;
                         LoanMessage recall = new LoanMessage.Recall(key.service(), back);
                         out.add(new LoanAction(key.borrower(), recall));
                     }
@@ -193,14 +195,14 @@
         Iterator<Loan> loans = mLoans.values().iterator();
         while (loans.hasNext()) {
             Loan loan = loans.next();
-            if (nowMs >= loan.mEndsMs || !siblings.contains(loan.mBorrower)) {
+            if (nowMs >= loan.mExpiresMs || !siblings.contains(loan.mBorrower)) {
                 for (int i = 0; i < loan.mCount; i++) {
                     mTargets.onLoanEnded(loan.mTarget, loan.mNeed, false, nowMs);
                 }
                 loans.remove();
             }
         }
-        mAsks.keySet().removeIf(key -> !siblings.contains(key.borrower()));
-        offer(ownWaits, nowMs, out);
+        mPendingRequests.keySet().removeIf(key -> !siblings.contains(key.borrower()));
+        servePending(ownWaits, nowMs, out);
     }
 }
--- a/core/src/main/java/org/boragegap/core/placement/LoanMessage.java
+++ b/core/src/main/java/org/boragegap/core/placement/LoanMessage.java
@@ -1,7 +1,7 @@
 package org.boragegap.core.placement;
 
 import java.util.List;
-import org.boragegap.core.job.Need;
+import org.boragegap.core.job.Resources;
 
 /** What entry VMs of one failure domain say to each other about room on targets. */
 public sealed interface LoanMessage {
@@ -13,7 +13,7 @@
      * @param need what one task needs
      * @param count for how many tasks at once
      */
-    record Ask(String service, Need need, int count) implements LoanMessage {}
+    record Ask(String service, Resources need, int count) implements LoanMessage {}
 
     /**
      * Gives room.
@@ -32,7 +32,7 @@
      * @param count for how many tasks at once
      * @param termMs how long after the ask new tasks may be started there
      */
-    record Line(long loanId, String target, Need need, int count, long termMs) {}
+    record Line(long loanId, String target, Resources need, int count, long termMs) {}
 
     /**
      * Wants room back as soon as the tasks on it have ended.
--- a/core/src/main/java/org/boragegap/core/placement/Ownership.java
+++ b/core/src/main/java/org/boragegap/core/placement/Ownership.java
@@ -10,7 +10,7 @@
     private Ownership() {}
 
     /** The owner of a name among the given candidates; empty when there are none. */
-    public static Optional<String> of(String name, List<String> candidates) {
+    public static Optional<String> owner(String name, List<String> candidates) {
         String best = null;
         long bestWeight = Long.MIN_VALUE;
         for (String candidate : candidates) {
--- a/core/src/main/java/org/boragegap/core/placement/PlacementPolicy.java
+++ b/core/src/main/java/org/boragegap/core/placement/PlacementPolicy.java
@@ -35,13 +35,13 @@
         }
 
         @Override
-        boolean samples() {
+        boolean usesSampling() {
             return true;
         }
     };
 
     /** True when a few candidates drawn at random are enough to choose from. */
-    boolean samples() {
+    boolean usesSampling() {
         return false;
     }
 
--- a/core/src/main/java/org/boragegap/core/placement/Placer.java
+++ b/core/src/main/java/org/boragegap/core/placement/Placer.java
@@ -5,8 +5,8 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
-import org.boragegap.core.job.Need;
 import org.boragegap.core.job.Outcome;
+import org.boragegap.core.job.Resources;
 
 /** Finds room for a task: on this VM's own targets first, then on what siblings lend. */
 public final class Placer {
@@ -19,13 +19,16 @@
      * @param need what is accounted for
      * @param slot the borrowed slot; empty when the target is this VM's own
      */
-    public record Place(
-            TargetState target, String service, Need need, Optional<Borrower.Slot> slot) {}
+    public record Allocation(
+            TargetState target,
+            String service,
+            Resources need,
+            Optional<Borrower.BorrowedSlot> slot) {}
 
     private final TargetPool mTargets;
     private final Lender mLender;
     private final Borrower mBorrower = Borrower.create();
-    private final Map<String, Need> mUnplaced = new HashMap<>();
+    private final Map<String, Resources> mUnplacedNeeds = new HashMap<>();
 
     private Placer(TargetPool targets, long incarnation) {
         mTargets = targets;
@@ -48,25 +51,27 @@
 
     /** To be called before a round of placements. */
     public void beginRound() {
-        mUnplaced.clear();
+        mUnplacedNeeds.clear();
     }
 
     /** Takes room for a task, if there is any. */
-    public Optional<Place> place(String service, Need need, Set<String> avoid, long nowMs) {
-        Optional<TargetState> own = mTargets.place(service, need, avoid, nowMs);
+    public Optional<Allocation> place(
+            String service, Resources need, Set<String> avoid, long nowMs) {
+        Optional<TargetState> own = mTargets.choose(service, need, avoid, nowMs);
         if (own.isPresent()) {
             mTargets.onStarted(own.get(), need);
-            return own.map(target -> new Place(target, service, need, Optional.empty()));
+            return own.map(target -> new Allocation(target, service, need, Optional.empty()));
         }
-        Optional<Place> borrowed = borrowed(service, need, avoid, nowMs);
+        Optional<Allocation> borrowed = placeOnBorrowed(service, need, avoid, nowMs);
         if (borrowed.isEmpty()) {
-            mUnplaced.putIfAbsent(service, need);
+            mUnplacedNeeds.putIfAbsent(service, need);
         }
         return borrowed;
     }
 
-    private Optional<Place> borrowed(String service, Need need, Set<String> avoid, long nowMs) {
-        Optional<Borrower.Slot> slot = mBorrower.take(service, need, avoid, nowMs);
+    private Optional<Allocation> placeOnBorrowed(
+            String service, Resources need, Set<String> avoid, long nowMs) {
+        Optional<Borrower.BorrowedSlot> slot = mBorrower.takeSlot(service, need, avoid, nowMs);
         if (slot.isEmpty()) {
             return Optional.empty();
         }
@@ -75,14 +80,14 @@
             mBorrower.free(service, slot.get(), true);
             return Optional.empty();
         }
-        return Optional.of(new Place(target.get(), service, need, slot));
+        return Optional.of(new Allocation(target.get(), service, need, slot));
     }
 
     /** Takes the end of an attempt. */
-    public void onEnded(Place place, Outcome outcome, long nowMs) {
-        mTargets.noteLeaving(place.target(), outcome);
+    public void onEnded(Allocation place, Outcome outcome, long nowMs) {
+        mTargets.markIfLeaving(place.target(), outcome);
         if (place.slot().isPresent()) {
-            boolean blamed = TargetPool.blames(outcome);
+            boolean blamed = TargetPool.targetAtFault(outcome);
             mBorrower.free(place.service(), place.slot().get(), blamed);
         } else {
             mTargets.onEnded(place.target(), place.need(), outcome, nowMs);
@@ -92,22 +97,23 @@
     /** To be called after a round: asks for what is missing, of siblings and of borrowers. */
     public void endRound(
             Set<String> siblings, Map<String, Integer> queued, long nowMs, List<LoanAction> out) {
-        for (Map.Entry<String, Need> entry : mUnplaced.entrySet()) {
+        for (Map.Entry<String, Resources> entry : mUnplacedNeeds.entrySet()) {
             int count = queued.getOrDefault(entry.getKey(), 0);
             if (count > 0 && !siblings.isEmpty()) {
-                mBorrower.ask(siblings, entry.getKey(), entry.getValue(), count, nowMs, out);
+                mBorrower.requestSlots(
+                        siblings, entry.getKey(), entry.getValue(), count, nowMs, out);
             }
         }
-        mBorrower.giveBackUnusable(nowMs, out);
+        mBorrower.returnUnusable(nowMs, out);
         Map<String, Integer> waiting = new HashMap<>(queued);
-        waiting.keySet().retainAll(mUnplaced.keySet());
+        waiting.keySet().retainAll(mUnplacedNeeds.keySet());
         mLender.recall(waiting, nowMs, out);
     }
 
     /** Takes a sibling's message. */
     public void onMessage(String from, LoanMessage message, long nowMs, List<LoanAction> out) {
         if (message instanceof LoanMessage.Ask ask) {
-            mLender.onAsk(from, ask, mUnplaced.keySet(), nowMs, out);
+            mLender.onAsk(from, ask, mUnplacedNeeds.keySet(), nowMs, out);
         } else if (message instanceof LoanMessage.Given given) {
             mBorrower.onGiven(from, given, nowMs);
         } else if (message instanceof LoanMessage.Recall recall) {
@@ -119,17 +125,17 @@
 
     /** Gives back what is not needed, serves asks that stand, and ends loans that are over. */
     public void onTick(Set<String> siblings, long nowMs, List<LoanAction> out) {
-        mBorrower.giveBack(mUnplaced.keySet(), nowMs, out);
-        mLender.onTick(siblings, mUnplaced.keySet(), nowMs, out);
+        mBorrower.returnUnneeded(mUnplacedNeeds.keySet(), nowMs, out);
+        mLender.onTick(siblings, mUnplacedNeeds.keySet(), nowMs, out);
     }
 
     /** Tasks at once that are lent to siblings now. */
-    public int lent() {
-        return mLender.lent();
+    public int lentSlots() {
+        return mLender.lentSlots();
     }
 
     /** Borrowed slots that are free now. */
-    public int borrowedFree() {
+    public int freeBorrowedSlots() {
         return mBorrower.free();
     }
 }
--- a/core/src/main/java/org/boragegap/core/placement/Target.java
+++ b/core/src/main/java/org/boragegap/core/placement/Target.java
@@ -1,6 +1,6 @@
 package org.boragegap.core.placement;
 
-import org.boragegap.core.job.Need;
+import org.boragegap.core.job.Resources;
 
 /**
  * A worker or a minion.
@@ -11,7 +11,7 @@
  * @param capacity what a worker has; {@link Need#NONE} for a minion
  * @param slots how many tasks it runs at once
  */
-public record Target(String address, Role role, String service, Need capacity, int slots) {
+public record Target(String address, Role role, String service, Resources capacity, int slots) {
 
     /** Service name under which all workers are found. */
     public static final String WORKERS = "";
--- a/core/src/main/java/org/boragegap/core/placement/TargetPool.java
+++ b/core/src/main/java/org/boragegap/core/placement/TargetPool.java
@@ -9,9 +9,9 @@
 import java.util.Set;
 import java.util.function.Predicate;
 import java.util.random.RandomGenerator;
-import org.boragegap.core.job.Need;
 import org.boragegap.core.job.Outcome;
 import org.boragegap.core.job.RefusalCause;
+import org.boragegap.core.job.Resources;
 
 /**
  * The targets of this failure domain and the choice among them.
@@ -20,17 +20,17 @@
  * no message a task is needed to agree on it.
  */
 public final class TargetPool {
-    private static final int SAMPLES = 8;
-    private static final long COUNT_EVERY_MS = 200;
+    private static final int MAX_SAMPLES = 8;
+    private static final long SLOT_COUNT_MAX_AGE_MS = 200;
 
     private final PlacementPolicy mPolicy;
     private final RandomGenerator mRandom;
     private final Map<String, TargetState> mTargets = new LinkedHashMap<>();
     private final Map<String, List<TargetState>> mByService = new HashMap<>();
     private final Map<String, List<TargetState>> mOwnedByService = new HashMap<>();
-    private Predicate<Target> mOwned = target -> true;
-    private final Map<String, Integer> mSlots = new HashMap<>();
-    private long mCountedMs = Long.MIN_VALUE / 2;
+    private Predicate<Target> mIsOwned = target -> true;
+    private final Map<String, Integer> mSlotsByService = new HashMap<>();
+    private long mSlotsCountedMs = Long.MIN_VALUE / 2;
     private long mTurn;
 
     private TargetPool(PlacementPolicy policy, RandomGenerator random) {
@@ -44,9 +44,9 @@
     }
 
     /** Limits placement to the targets that this VM owns; to be called when that changes. */
-    public void own(Predicate<Target> owned) {
-        mOwned = owned;
-        index();
+    public void setOwned(Predicate<Target> owned) {
+        mIsOwned = owned;
+        rebuildIndexes();
     }
 
     /**
@@ -61,35 +61,36 @@
             TargetState known = before.get(target.address());
             boolean same = known != null && known.target().equals(target);
             TargetState state = same ? known : new TargetState(target);
-            state.listed(leaving.contains(target.address()));
+            state.onListed(leaving.contains(target.address()));
             mTargets.put(target.address(), state);
         }
         before.keySet().removeAll(mTargets.keySet());
         before.values().removeIf(state -> state.running() == 0);
-        before.values().forEach(state -> state.listed(true));
+        before.values().forEach(state -> state.onListed(true));
         mTargets.putAll(before);
-        index();
+        rebuildIndexes();
     }
 
-    private void index() {
+    private void rebuildIndexes() {
         mByService.clear();
         mOwnedByService.clear();
-        mSlots.clear();
+        mSlotsByService.clear();
         for (TargetState state : mTargets.values()) {
             String service = state.target().service();
             mByService.computeIfAbsent(service, name -> new ArrayList<>()).add(state);
-            if (mOwned.test(state.target())) {
+            if (mIsOwned.test(state.target())) {
                 mOwnedByService.computeIfAbsent(service, name -> new ArrayList<>()).add(state);
             }
         }
     }
 
     /** The target for a task, if one has room for it. */
-    public Optional<TargetState> place(String service, Need need, Set<String> avoid, long nowMs) {
+    public Optional<TargetState> choose(
+            String service, Resources need, Set<String> avoid, long nowMs) {
         List<TargetState> owned = mOwnedByService.getOrDefault(service, List.of());
         Predicate<TargetState> accepts =
                 state -> state.accepts(need, nowMs) && !avoid.contains(state.target().address());
-        if (mPolicy.samples() && owned.size() > SAMPLES) {
+        if (mPolicy.usesSampling() && owned.size() > MAX_SAMPLES) {
             Optional<TargetState> sampled = sample(owned, accepts);
             if (sampled.isPresent()) {
                 return sampled;
@@ -105,7 +106,7 @@
     /** Looks at a few targets only, so that a placement costs the same however many there are. */
     private Optional<TargetState> sample(List<TargetState> owned, Predicate<TargetState> accepts) {
         List<TargetState> candidates = new ArrayList<>(2);
-        for (int i = 0; i < SAMPLES && candidates.size() < 2; i++) {
+        for (int i = 0; i < MAX_SAMPLES && candidates.size() < 2; i++) {
             TargetState state = owned.get(mRandom.nextInt(owned.size()));
             if (accepts.test(state)) {
                 candidates.add(state);
@@ -117,31 +118,31 @@
     }
 
     /** Accounts for an attempt. */
-    public void onStarted(TargetState state, Need need) {
-        state.started(need);
+    public void onStarted(TargetState state, Resources need) {
+        state.onStarted(need);
     }
 
     /** Takes the end of an attempt. */
-    public void onEnded(TargetState state, Need need, Outcome outcome, long nowMs) {
-        state.ended(need, blames(outcome), nowMs);
+    public void onEnded(TargetState state, Resources need, Outcome outcome, long nowMs) {
+        state.onEnded(need, targetAtFault(outcome), nowMs);
     }
 
     /** A target that refuses since it is going away gets nothing more. */
-    void noteLeaving(TargetState state, Outcome outcome) {
+    void markIfLeaving(TargetState state, Outcome outcome) {
         boolean leaving =
                 outcome instanceof Outcome.NotRun refused
                         && refused.cause() == RefusalCause.LEAVING;
         if (leaving) {
-            state.saidLeaving();
+            state.onReportedLeaving();
         }
     }
 
     /** Ends a loan of room for one task. */
-    void onLoanEnded(TargetState state, Need need, boolean blamed, long nowMs) {
+    void onLoanEnded(TargetState state, Resources need, boolean blamed, long nowMs) {
         if (blamed) {
-            state.ended(need, true, nowMs);
+            state.onEnded(need, true, nowMs);
         } else {
-            state.freed(need);
+            state.onReleased(need);
         }
     }
 
@@ -151,7 +152,7 @@
     }
 
     /** True when the outcome speaks against the target. */
-    public static boolean blames(Outcome outcome) {
+    public static boolean targetAtFault(Outcome outcome) {
         if (outcome instanceof Outcome.NotRun refused) {
             return refused.cause().targetAtFault();
         }
@@ -159,10 +160,10 @@
     }
 
     /** True when some target of the service, busy or not, could ever take the need. */
-    public boolean everFits(String service, Need need) {
+    public boolean canEverFit(String service, Resources need) {
         for (TargetState state : mByService.getOrDefault(service, List.of())) {
             boolean worker = state.target().role() == Role.WORKER;
-            if (!worker || need.fits(state.target().capacity())) {
+            if (!worker || need.fitsInto(state.target().capacity())) {
                 return true;
             }
         }
@@ -170,17 +171,17 @@
     }
 
     /** True when any target of the service is known. */
-    public boolean knows(String service) {
+    public boolean hasTargets(String service) {
         return mByService.containsKey(service);
     }
 
     /** How many tasks the targets of a service run at once, owned or not; a moment old. */
-    public int slots(String service, long nowMs) {
-        if (nowMs - mCountedMs >= COUNT_EVERY_MS) {
-            mSlots.clear();
-            mCountedMs = nowMs;
+    public int totalSlots(String service, long nowMs) {
+        if (nowMs - mSlotsCountedMs >= SLOT_COUNT_MAX_AGE_MS) {
+            mSlotsByService.clear();
+            mSlotsCountedMs = nowMs;
         }
-        return mSlots.computeIfAbsent(service, this::countSlots);
+        return mSlotsByService.computeIfAbsent(service, this::countSlots);
     }
 
     private int countSlots(String service) {
--- a/core/src/main/java/org/boragegap/core/placement/TargetState.java
+++ b/core/src/main/java/org/boragegap/core/placement/TargetState.java
@@ -1,6 +1,6 @@
 package org.boragegap.core.placement;
 
-import org.boragegap.core.job.Need;
+import org.boragegap.core.job.Resources;
 
 /**
  * What this entry VM believes of one target.
@@ -10,20 +10,20 @@
  * probe.
  */
 public final class TargetState {
-    private static final int FAILURES_TO_QUARANTINE = 3;
-    private static final long FIRST_PAUSE_MS = 500;
-    private static final long LONGEST_PAUSE_MS = 30_000;
-    private static final int GROWTH_LIMIT = 6;
+    private static final int QUARANTINE_THRESHOLD = 3;
+    private static final long MIN_QUARANTINE_MS = 500;
+    private static final long MAX_QUARANTINE_MS = 30_000;
+    private static final int MAX_DOUBLINGS = 6;
 
     private final Target mTarget;
-    private Need mUsed = Need.NONE;
+    private Resources mUsed = Resources.NONE;
     private int mRunning;
-    private int mFailuresInRow;
-    private int mQuarantines;
+    private int mConsecutiveFailures;
+    private int mQuarantineCount;
     private long mQuarantinedUntilMs = Long.MIN_VALUE;
     private boolean mProbing;
     private boolean mListedLeaving;
-    private boolean mSaidLeaving;
+    private boolean mReportedLeaving;
 
     TargetState(Target target) {
         mTarget = target;
@@ -41,25 +41,25 @@
 
     /** True when the platform or the target itself said that it is going away. */
     public boolean leaving() {
-        return mListedLeaving || mSaidLeaving;
+        return mListedLeaving || mReportedLeaving;
     }
 
     /** True while the target gets nothing, or only a probe, because of what it did. */
     public boolean quarantined() {
-        return mFailuresInRow >= FAILURES_TO_QUARANTINE;
+        return mConsecutiveFailures >= QUARANTINE_THRESHOLD;
     }
 
     /** The target said so itself, which goes before a list that lags. */
-    void saidLeaving() {
-        mSaidLeaving = true;
+    void onReportedLeaving() {
+        mReportedLeaving = true;
     }
 
     /**
      * Takes what the list says; one that lacks the target says that it is leaving. A target that is
      * back after that, or its successor, has said nothing yet.
      */
-    void listed(boolean leaving) {
-        mSaidLeaving &= leaving || !mListedLeaving;
+    void onListed(boolean leaving) {
+        mReportedLeaving &= leaving || !mListedLeaving;
         mListedLeaving = leaving;
     }
 
@@ -71,38 +71,38 @@
         return (double) mUsed.cpuMillis() / Math.max(1, mTarget.capacity().cpuMillis());
     }
 
-    boolean accepts(Need need, long nowMs) {
+    boolean accepts(Resources need, long nowMs) {
         if (leaving() || mRunning >= mTarget.slots()) {
             return false;
         }
         if (quarantined() && (mProbing || nowMs < mQuarantinedUntilMs)) {
             return false;
         }
-        return mTarget.role() == Role.MINION || need.fits(mTarget.capacity().minus(mUsed));
+        return mTarget.role() == Role.MINION || need.fitsInto(mTarget.capacity().minus(mUsed));
     }
 
-    void started(Need need) {
+    void onStarted(Resources need) {
         mRunning++;
         mUsed = mUsed.plus(need);
         mProbing = quarantined();
     }
 
     /** Room is free again, and nothing is learned about the target. */
-    void freed(Need need) {
+    void onReleased(Resources need) {
         mRunning--;
         mUsed = mUsed.minus(need);
     }
 
-    void ended(Need need, boolean blame, long nowMs) {
+    void onEnded(Resources need, boolean blame, long nowMs) {
         mRunning--;
         mUsed = mUsed.minus(need);
         mProbing = false;
         if (blame) {
-            mFailuresInRow++;
+            mConsecutiveFailures++;
             quarantine(nowMs);
         } else {
-            mFailuresInRow = 0;
-            mQuarantines = 0;
+            mConsecutiveFailures = 0;
+            mQuarantineCount = 0;
         }
     }
 
@@ -110,8 +110,8 @@
         if (!quarantined()) {
             return;
         }
-        long pauseMs = FIRST_PAUSE_MS << Math.min(mQuarantines, GROWTH_LIMIT);
-        mQuarantinedUntilMs = nowMs + Math.min(pauseMs, LONGEST_PAUSE_MS);
-        mQuarantines++;
+        long pauseMs = MIN_QUARANTINE_MS << Math.min(mQuarantineCount, MAX_DOUBLINGS);
+        mQuarantinedUntilMs = nowMs + Math.min(pauseMs, MAX_QUARANTINE_MS);
+        mQuarantineCount++;
     }
 }
--- a/core/src/main/java/org/boragegap/core/retry/RetryBudget.java
+++ b/core/src/main/java/org/boragegap/core/retry/RetryBudget.java
@@ -6,14 +6,14 @@
  * <p>Each first try earns a part of a retry; each retry spends a whole one; savings are capped.
  */
 public final class RetryBudget {
-    private final double mShare;
-    private final double mCap;
-    private double mSaved;
+    private final double mTokensPerFirstAttempt;
+    private final double mMaxTokens;
+    private double mTokens;
 
     private RetryBudget(double share, double cap) {
-        mShare = share;
-        mCap = cap;
-        mSaved = cap;
+        mTokensPerFirstAttempt = share;
+        mMaxTokens = cap;
+        mTokens = cap;
     }
 
     /**
@@ -27,16 +27,16 @@
     }
 
     /** Counts a first try. */
-    public void onFirstTry() {
-        mSaved = Math.min(mCap, mSaved + mShare);
+    public void onFirstAttempt() {
+        mTokens = Math.min(mMaxTokens, mTokens + mTokensPerFirstAttempt);
     }
 
     /** Spends a retry if there is one. */
     public boolean trySpend() {
-        if (mSaved < 1) {
+        if (mTokens < 1) {
             return false;
         }
-        mSaved--;
+        mTokens--;
         return true;
     }
 }
--- a/core/src/test/java/org/boragegap/core/ArchitectureTest.java
+++ b/core/src/test/java/org/boragegap/core/ArchitectureTest.java
@@ -16,7 +16,7 @@
                     .importPackages("org.boragegap.core");
 
     @Test
-    void theCoreHasNoInputOutputThreadsOrClocks() {
+    void coreHasNoIoThreadsOrClocks() {
         noClasses()
                 .should()
                 .dependOnClassesThat()
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void theCoreReadsNoWallClockAndStartsNoThread() {
+    void coreReadsNoClockAndStartsNoThread() {
         noClasses()
                 .should()
                 .callMethod(System.class, "currentTimeMillis")
@@ -45,14 +45,14 @@
                 .orShould()
                 .dependOnClassesThat()
                 .belongToAnyOf(Thread.class, java.util.Random.class, java.util.UUID.class)
-                .check(CORE.that(new NotAnId()));
+                .check(CORE.that(new NotSubmissionId()));
     }
 
     /** Ids are read as UUIDs; none is made in the core. */
-    private static final class NotAnId
+    private static final class NotSubmissionId
             extends com.tngtech.archunit.base.DescribedPredicate<
                     com.tngtech.archunit.core.domain.JavaClass> {
-        private NotAnId() {
+        private NotSubmissionId() {
             super("classes that are not ids");
         }
 
--- a/core/src/test/java/org/boragegap/core/bundle/BundleChainProperties.java
+++ b/core/src/test/java/org/boragegap/core/bundle/BundleChainProperties.java
@@ -24,47 +24,47 @@
 
     private static final class Reader {
         private final BundleChain mChain = BundleChain.create(RETENTION_MS);
-        private int mNext;
-        private int mFirst;
-        private long mHighest;
+        private int mNextOffset;
+        private int mFirstOffset;
+        private long mHighestVersion;
     }
 
     private final List<BundleRecord> mLog = new ArrayList<>();
-    private final Map<Long, String> mInForceByVersion = new HashMap<>();
+    private final Map<Long, String> mActiveByVersion = new HashMap<>();
 
     @Property(tries = 1_000, seed = "7")
-    void allReadersAgreeAndNoneGoesBack(
+    void readersAgreeAndVersionsNeverDecrease(
             @ForAll long seed, @ForAll @IntRange(min = 2, max = 5) int count) {
         mLog.clear();
-        mInForceByVersion.clear();
+        mActiveByVersion.clear();
         SplittableRandom random = new SplittableRandom(seed);
         List<Reader> readers = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             readers.add(new Reader());
         }
         for (int step = 0; step < 150; step++) {
-            act(readers, random, step * STEP_MS);
+            performRandomStep(readers, random, step * STEP_MS);
         }
         // The steady state at the end: somebody states it, everybody reads.
         long endMs = 150 * STEP_MS;
         for (int round = 0; round < 3; round++) {
             readers.forEach(reader -> read(reader, endMs));
-            readers.forEach(reader -> state(reader, endMs));
-            passOn(readers);
+            readers.forEach(reader -> appendStatement(reader, endMs));
+            exchangeBundles(readers);
         }
         long highest = readers.stream().mapToLong(r -> r.mChain.version()).max().orElse(0);
         readers.forEach(r -> assertThat(r.mChain.version()).isEqualTo(highest));
     }
 
-    private void act(List<Reader> readers, SplittableRandom random, long nowMs) {
+    private void performRandomStep(List<Reader> readers, SplittableRandom random, long nowMs) {
         Reader reader = readers.get(random.nextInt(readers.size()));
         switch (random.nextInt(9)) {
             case 0, 1 -> publish(reader, random, nowMs);
             case 2 -> replay(random, nowMs);
             case 3, 4 -> read(reader, nowMs);
-            case 5 -> state(reader, nowMs);
+            case 5 -> appendStatement(reader, nowMs);
             case 6 -> readers.forEach(each -> read(each, nowMs));
-            case 7 -> passOn(readers);
+            case 7 -> exchangeBundles(readers);
             default -> {
                 if (random.nextInt(6) == 0) {
                     readers.set(readers.indexOf(reader), new Reader());
@@ -75,14 +75,14 @@
 
     private void publish(Reader reader, SplittableRandom random, long nowMs) {
         String parent =
-                reader.mChain.inForce().map(checked -> checked.bundle().publication()).orElse("");
+                reader.mChain.active().map(checked -> checked.bundle().publication()).orElse("");
         String publication = "p" + random.nextLong();
         Bundle bundle = new Bundle(reader.mChain.version() + 1, parent, publication, "", List.of());
         boolean bad = random.nextInt(5) == 0;
         CheckedBundle checked =
                 bad
-                        ? CheckedBundle.bad(bundle, "bad signature")
-                        : CheckedBundle.good(bundle, BundleContent.EMPTY);
+                        ? CheckedBundle.invalid(bundle, "bad signature")
+                        : CheckedBundle.valid(bundle, BundleContent.EMPTY);
         append(BundleRecord.Kind.PUBLISHED, -1, checked, nowMs);
     }
 
@@ -93,10 +93,10 @@
         }
     }
 
-    private void state(Reader reader, long nowMs) {
-        if (reader.mChain.inForceFromLog()) {
-            CheckedBundle bundle = reader.mChain.inForce().orElseThrow();
-            append(BundleRecord.Kind.STATED, reader.mNext - 1, bundle, nowMs);
+    private void appendStatement(Reader reader, long nowMs) {
+        if (reader.mChain.activeFromLog()) {
+            CheckedBundle bundle = reader.mChain.active().orElseThrow();
+            append(BundleRecord.Kind.STATED, reader.mNextOffset - 1, bundle, nowMs);
         }
     }
 
@@ -109,35 +109,35 @@
         while (first < mLog.size() && mLog.get(first).appendedMs() < nowMs - RETENTION_MS) {
             first++;
         }
-        if (first > reader.mNext) {
-            reader.mFirst = first;
-            reader.mNext = first;
+        if (first > reader.mNextOffset) {
+            reader.mFirstOffset = first;
+            reader.mNextOffset = first;
         }
-        reader.mChain.readFrom(reader.mFirst, nowMs);
-        while (reader.mNext < mLog.size()) {
-            reader.mChain.apply(mLog.get(reader.mNext++), nowMs);
-            check(reader);
+        reader.mChain.advanceFirstOffset(reader.mFirstOffset, nowMs);
+        while (reader.mNextOffset < mLog.size()) {
+            reader.mChain.apply(mLog.get(reader.mNextOffset++), nowMs);
+            checkReader(reader);
         }
     }
 
-    private void passOn(List<Reader> readers) {
+    private void exchangeBundles(List<Reader> readers) {
         for (Reader from : readers) {
             for (Reader to : readers) {
-                from.mChain.inForce().ifPresent(bundle -> to.mChain.adopt(bundle, 0));
-                check(to);
+                from.mChain.active().ifPresent(bundle -> to.mChain.adopt(bundle, 0));
+                checkReader(to);
             }
         }
     }
 
-    private void check(Reader reader) {
+    private void checkReader(Reader reader) {
         long version = reader.mChain.version();
-        assertWithMessage("no reader goes back").that(version).isAtLeast(reader.mHighest);
-        reader.mHighest = version;
+        assertWithMessage("no reader goes back").that(version).isAtLeast(reader.mHighestVersion);
+        reader.mHighestVersion = version;
         if (version == 0) {
             return;
         }
-        String publication = reader.mChain.inForce().orElseThrow().bundle().publication();
-        String other = mInForceByVersion.putIfAbsent(version, publication);
+        String publication = reader.mChain.active().orElseThrow().bundle().publication();
+        String other = mActiveByVersion.putIfAbsent(version, publication);
         assertWithMessage("one bundle for version %s", version)
                 .that(other == null || other.equals(publication))
                 .isTrue();
@@ -145,13 +145,13 @@
 
     /** A bundle that parses but can't be applied must be void on every process alike. */
     @Test
-    void aBundleThatCannotBeAppliedIsVoid() {
+    void invalidBundleIsRejected() {
         BundleChain chain = BundleChain.create(RETENTION_MS);
-        chain.readFrom(0, 0);
+        chain.advanceFirstOffset(0, 0);
         Bundle bundle = new Bundle(1, "", "p", "", List.of());
-        CheckedBundle bad = CheckedBundle.bad(bundle, "weight must be more than 0");
+        CheckedBundle bad = CheckedBundle.invalid(bundle, "weight must be more than 0");
         chain.apply(new BundleRecord(0, 1, BundleRecord.Kind.PUBLISHED, -1, bad), 1);
         assertThat(chain.version()).isEqualTo(0);
-        assertThat(chain.verdict("p")).hasValue("weight must be more than 0");
+        assertThat(chain.publicationResult("p")).hasValue("weight must be more than 0");
     }
 }
--- a/core/src/test/java/org/boragegap/core/dispatch/DispatcherTest.java
+++ b/core/src/test/java/org/boragegap/core/dispatch/DispatcherTest.java
@@ -16,9 +16,9 @@
 import org.boragegap.core.claim.Member;
 import org.boragegap.core.job.Answer;
 import org.boragegap.core.job.FailureKind;
-import org.boragegap.core.job.Need;
 import org.boragegap.core.job.Outcome;
 import org.boragegap.core.job.RefusalCause;
+import org.boragegap.core.job.Resources;
 import org.boragegap.core.job.Submission;
 import org.boragegap.core.job.SubmissionId;
 import org.boragegap.core.job.TaskSpec;
@@ -33,8 +33,8 @@
 final class DispatcherTest {
     private static final String DOMAIN = "fd";
     private static final long WALL_MS = 1_800_000_000_000L;
-    private static final Need ROOM = new Need(4_000, 4_000, 1);
-    private static final Need SMALL = new Need(1_000, 100, 0);
+    private static final Resources ROOM = new Resources(4_000, 4_000, 1);
+    private static final Resources SMALL = new Resources(1_000, 100, 0);
 
     private final Dispatcher mDispatcher =
             Dispatcher.create(
@@ -54,7 +54,7 @@
         List<ListedVm> vms = new ArrayList<>();
         vms.add(new ListedVm("w:1", DOMAIN, VmKind.WORKER, "", false, ROOM, 64));
         vms.add(new ListedVm("w:2", DOMAIN, VmKind.WORKER, "", false, ROOM, 64));
-        vms.add(new ListedVm("m:1", DOMAIN, VmKind.MINION, "billing", false, Need.NONE, 8));
+        vms.add(new ListedVm("m:1", DOMAIN, VmKind.MINION, "billing", false, Resources.NONE, 8));
         vms.add(
                 new ListedVm(
                         "m:2",
@@ -62,7 +62,7 @@
                         VmKind.MINION,
                         "billing",
                         secondMinionLeaving,
-                        Need.NONE,
+                        Resources.NONE,
                         8));
         on(new Event.VmsListed(vms));
     }
@@ -79,7 +79,7 @@
     }
 
     private Submission submission(
-            Optional<String> service, boolean idempotent, int tasks, Need need) {
+            Optional<String> service, boolean idempotent, int tasks, Resources need) {
         List<TaskSpec> specs = new ArrayList<>();
         for (int i = 0; i < tasks; i++) {
             specs.add(new TaskSpec(i, need, 100, ""));
@@ -172,7 +172,7 @@
     final class Impossible {
         @Test
         void aTaskLargerThanAnyWorkerFailsAtOnce() {
-            Need huge = new Need(5_000, 10, 0);
+            Resources huge = new Resources(5_000, 10, 0);
             Answer.Failed failure = failure(submit(submission(Optional.empty(), false, 1, huge)));
             assertThat(failure.kind()).isEqualTo(FailureKind.IMPOSSIBLE);
             assertThat(failure.reason()).contains("more than any worker has");
@@ -183,7 +183,7 @@
             BundleContent content =
                     new BundleContent(Map.of("team", new TeamQuota(0, 1)), Map.of());
             Bundle bundle = new Bundle(1, "", "p", "", List.of());
-            on(new Event.BundlePassedOn(CheckedBundle.good(bundle, content)));
+            on(new Event.BundlePassedOn(CheckedBundle.valid(bundle, content)));
             Answer.Failed failure = failure(submit(submission(Optional.empty(), false, 1, SMALL)));
             assertThat(failure.kind()).isEqualTo(FailureKind.IMPOSSIBLE);
         }
@@ -192,7 +192,7 @@
     @Nested
     final class Requests {
         private Submission billing(boolean idempotent) {
-            return submission(Optional.of("billing"), idempotent, 1, Need.NONE);
+            return submission(Optional.of("billing"), idempotent, 1, Resources.NONE);
         }
 
         /**
@@ -245,7 +245,7 @@
         private Map<String, Integer> placed(int count) {
             Map<String, Integer> placed = new HashMap<>();
             for (int i = 0; i < count; i++) {
-                Submission request = submission(Optional.of("billing"), false, 1, Need.NONE);
+                Submission request = submission(Optional.of("billing"), false, 1, Resources.NONE);
                 for (Action.Start start : starts(submit(request))) {
                     placed.merge(start.target().address(), 1, Integer::sum);
                     end(start, done(start));
@@ -263,7 +263,7 @@
         /** The list lags and still shows the minion; its own word goes first, and stays. */
         @Test
         void aMinionThatSaysItLeavesGetsNothingMore() {
-            Submission request = submission(Optional.of("billing"), false, 1, Need.NONE);
+            Submission request = submission(Optional.of("billing"), false, 1, Resources.NONE);
             Action.Start start = starts(submit(request)).get(0);
             end(start, new Outcome.NotRun(RefusalCause.LEAVING, "leaving"));
             list(false);
@@ -308,7 +308,7 @@
         /** Tasks use three times what they declare; after a while the workers aren't overfilled. */
         @Test
         void needsAreLearnedFromWhatWasUsed() {
-            Need used = new Need(3_000, 300, 0);
+            Resources used = new Resources(3_000, 300, 0);
             for (int i = 0; i < 10; i++) {
                 for (Action.Start start :
                         starts(submit(submission(Optional.empty(), false, 1, SMALL)))) {
--- a/core/src/test/java/org/boragegap/core/dispatch/History.java
+++ b/core/src/test/java/org/boragegap/core/dispatch/History.java
@@ -16,9 +16,9 @@
 import org.boragegap.core.claim.Member;
 import org.boragegap.core.job.Answer;
 import org.boragegap.core.job.FailureKind;
-import org.boragegap.core.job.Need;
 import org.boragegap.core.job.Outcome;
 import org.boragegap.core.job.RefusalCause;
+import org.boragegap.core.job.Resources;
 import org.boragegap.core.job.Submission;
 import org.boragegap.core.job.SubmissionId;
 import org.boragegap.core.job.TaskSpec;
@@ -144,7 +144,7 @@
     }
 
     private static ListedVm listed(String address, int domain, VmKind kind) {
-        Need capacity = new Need(100_000, 100_000, 0);
+        Resources capacity = new Resources(100_000, 100_000, 0);
         return new ListedVm(address, "fd" + domain, kind, "", false, capacity, 64);
     }
 
@@ -271,7 +271,7 @@
         Outcome outcome =
                 chance(2)
                         ? new Outcome.Lost("gone")
-                        : new Outcome.Succeeded("result of " + task, 100, Need.NONE);
+                        : new Outcome.Succeeded("result of " + task, 100, Resources.NONE);
         end(vm, start, outcome);
     }
 
@@ -360,7 +360,7 @@
         SubmissionId id = new SubmissionId(text, createdMs, Optional.empty(), Optional.empty());
         List<TaskSpec> tasks = new ArrayList<>();
         for (int i = 0; i < TASKS; i++) {
-            tasks.add(new TaskSpec(i, new Need(100, 10, 0), 100, ""));
+            tasks.add(new TaskSpec(i, new Resources(100, 10, 0), 100, ""));
         }
         Submission submission =
                 new Submission(
--- a/core/src/test/java/org/boragegap/core/placement/LoanIdentityTest.java
+++ b/core/src/test/java/org/boragegap/core/placement/LoanIdentityTest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Random;
 import java.util.Set;
-import org.boragegap.core.job.Need;
+import org.boragegap.core.job.Resources;
 import org.junit.jupiter.api.Test;
 
 /** Room that is lent must not be taken for other room that has the same number. */
@@ -14,7 +14,7 @@
     private static final String SERVICE = "service";
     private static final String BORROWER = "vm1";
     private static final String OTHER_BORROWER = "vm2";
-    private static final Need NEED = new Need(1_000, 100, 0);
+    private static final Resources NEED = new Resources(1_000, 100, 0);
     private static final Target TARGET = new Target("x:1", Role.MINION, SERVICE, NEED, 1);
     private static final long INCARNATION = 1_800_000_000_000L;
 
@@ -26,39 +26,39 @@
         return Placer.create(targets, incarnation);
     }
 
-    private static long firstLoan(Placer owner) {
+    private static long firstLoanId(Placer owner) {
         List<LoanAction> out = new ArrayList<>();
         owner.onMessage(BORROWER, new LoanMessage.Ask(SERVICE, NEED, 1), 0, out);
         return ((LoanMessage.Given) out.get(0).message()).lines().get(0).loanId();
     }
 
-    private static LoanMessage.Back back(long loan) {
+    private static LoanMessage.Back returnOf(long loan) {
         return new LoanMessage.Back(List.of(new LoanMessage.Return(loan, 1, 0)));
     }
 
     /** Guards against room that one VM works in being freed by another VM's word. */
     @Test
-    void roomIsGivenBackByItsBorrowerAlone() {
-        long loan = firstLoan(mOwner);
-        mOwner.onMessage(OTHER_BORROWER, back(loan), 10, new ArrayList<>());
-        assertThat(mOwner.lent()).isEqualTo(1);
-        mOwner.onMessage(BORROWER, back(loan), 20, new ArrayList<>());
-        assertThat(mOwner.lent()).isEqualTo(0);
+    void onlyTheBorrowerCanReturnALoan() {
+        long loan = firstLoanId(mOwner);
+        mOwner.onMessage(OTHER_BORROWER, returnOf(loan), 10, new ArrayList<>());
+        assertThat(mOwner.lentSlots()).isEqualTo(1);
+        mOwner.onMessage(BORROWER, returnOf(loan), 20, new ArrayList<>());
+        assertThat(mOwner.lentSlots()).isEqualTo(0);
     }
 
     /** Guards against a loan of an earlier life of its owner ending one of this life. */
     @Test
-    void loansOfTwoLivesOfAnOwnerHaveDifferentNumbers() {
-        assertThat(firstLoan(mOwner)).isNotEqualTo(firstLoan(owner(INCARNATION + 1)));
+    void loanIdsDifferBetweenIncarnations() {
+        assertThat(firstLoanId(mOwner)).isNotEqualTo(firstLoanId(owner(INCARNATION + 1)));
     }
 
     /** Guards against room of this life being freed by what is given back of the life before. */
     @Test
-    void whatIsGivenBackOfAnEarlierLifeFreesNothing() {
-        long earlier = firstLoan(mOwner);
+    void returnOfAnEarlierIncarnationsLoanIsIgnored() {
+        long earlier = firstLoanId(mOwner);
         Placer next = owner(INCARNATION + 1);
-        firstLoan(next);
-        next.onMessage(BORROWER, back(earlier), 10, new ArrayList<>());
-        assertThat(next.lent()).isEqualTo(1);
+        firstLoanId(next);
+        next.onMessage(BORROWER, returnOf(earlier), 10, new ArrayList<>());
+        assertThat(next.lentSlots()).isEqualTo(1);
     }
 }
--- a/core/src/test/java/org/boragegap/core/placement/TargetPoolTest.java
+++ b/core/src/test/java/org/boragegap/core/placement/TargetPoolTest.java
@@ -5,9 +5,9 @@
 import java.util.List;
 import java.util.Random;
 import java.util.Set;
-import org.boragegap.core.job.Need;
 import org.boragegap.core.job.Outcome;
 import org.boragegap.core.job.RefusalCause;
+import org.boragegap.core.job.Resources;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Nested;
 import org.junit.jupiter.api.Test;
@@ -15,77 +15,77 @@
 /** Which targets are given work. */
 final class TargetPoolTest {
     private static final String SERVICE = "service";
-    private static final Need NEED = new Need(1_000, 100, 0);
+    private static final Resources NEED = new Resources(1_000, 100, 0);
     private static final Target TARGET = new Target("x:1", Role.MINION, SERVICE, NEED, 2);
     private static final long LATER_MS = 60_000;
 
     private final TargetPool mTargets =
             TargetPool.create(PlacementPolicy.values()[0], new Random(1));
 
-    private void listed(boolean leaving) {
+    private void list(boolean leaving) {
         mTargets.onListed(List.of(TARGET), leaving ? Set.of(TARGET.address()) : Set.of());
     }
 
-    private boolean takesWork() {
-        return mTargets.place(SERVICE, NEED, Set.of(), LATER_MS).isPresent();
+    private boolean acceptsWork() {
+        return mTargets.choose(SERVICE, NEED, Set.of(), LATER_MS).isPresent();
     }
 
     @Nested
-    final class SaidToLeave {
+    final class AfterRefusalAsLeaving {
         private TargetState mState;
 
         @BeforeEach
-        void oneTaskIsAtWorkAndAnotherIsRefused() {
-            listed(false);
-            mState = mTargets.place(SERVICE, NEED, Set.of(), 0).orElseThrow();
+        void startTwoTasksAndRefuseOne() {
+            list(false);
+            mState = mTargets.choose(SERVICE, NEED, Set.of(), 0).orElseThrow();
             mTargets.onStarted(mState, NEED);
             mTargets.onStarted(mState, NEED);
             Outcome refused = new Outcome.NotRun(RefusalCause.LEAVING, "leaves");
-            mTargets.noteLeaving(mState, refused);
+            mTargets.markIfLeaving(mState, refused);
             mTargets.onEnded(mState, NEED, refused, 10);
         }
 
         @Test
-        void theListThatLagsChangesNothing() {
-            listed(false);
-            listed(false);
-            assertThat(takesWork()).isFalse();
+        void staleListChangesNothing() {
+            list(false);
+            list(false);
+            assertThat(acceptsWork()).isFalse();
         }
 
         /** Guards against a target that is back at its address being left without work for good. */
         @Test
-        void backAfterItWasListedAsLeaving() {
-            listed(true);
-            listed(false);
-            assertThat(takesWork()).isTrue();
+        void acceptsWorkAgainAfterListedAsLeaving() {
+            list(true);
+            list(false);
+            assertThat(acceptsWork()).isTrue();
         }
 
         /** Guards against the same where the target was missing from the list meanwhile. */
         @Test
-        void backAfterItWasNotListed() {
+        void acceptsWorkAgainAfterMissingFromList() {
             mTargets.onListed(List.of(), Set.of());
-            listed(false);
-            assertThat(takesWork()).isTrue();
+            list(false);
+            assertThat(acceptsWork()).isTrue();
         }
 
         /** Guards against the same where nothing is at work there any more. */
         @Test
-        void backWithNothingAtWork() {
+        void acceptsWorkAgainWithNothingRunning() {
             mTargets.onEnded(mState, NEED, new Outcome.Lost("gone"), 20);
-            listed(true);
-            listed(false);
-            assertThat(takesWork()).isTrue();
+            list(true);
+            list(false);
+            assertThat(acceptsWork()).isTrue();
         }
     }
 
     @Test
-    void aTargetThatIsNotListedTakesNoWorkWhileOneIsAtWorkThere() {
-        listed(false);
-        TargetState state = mTargets.place(SERVICE, NEED, Set.of(), 0).orElseThrow();
+    void unlistedTargetAcceptsNoWorkWhileATaskRuns() {
+        list(false);
+        TargetState state = mTargets.choose(SERVICE, NEED, Set.of(), 0).orElseThrow();
         mTargets.onStarted(state, NEED);
         mTargets.onListed(List.of(), Set.of());
-        assertThat(takesWork()).isFalse();
-        listed(false);
-        assertThat(takesWork()).isTrue();
+        assertThat(acceptsWork()).isFalse();
+        list(false);
+        assertThat(acceptsWork()).isTrue();
     }
 }
--- a/entry/src/main/java/org/boragegap/entry/BodyReader.java
+++ b/entry/src/main/java/org/boragegap/entry/BodyReader.java
@@ -14,7 +14,7 @@
 import java.util.function.Supplier;
 import java.util.regex.Pattern;
 import org.apache.commons.codec.digest.MurmurHash3;
-import org.boragegap.core.job.Need;
+import org.boragegap.core.job.Resources;
 import org.boragegap.core.job.Submission;
 import org.boragegap.core.job.SubmissionId;
 import org.boragegap.core.job.TaskSpec;
@@ -117,17 +117,17 @@
     private static SubmissionId id(String text, JobBody body) throws BadBodyException {
         OptionalLong created =
                 body.created() == null ? OptionalLong.empty() : OptionalLong.of(body.created());
-        SubmissionId.Parsed parsed = SubmissionId.parse(text, created);
-        if (parsed instanceof SubmissionId.Parsed.Invalid invalid) {
+        SubmissionId.ParseResult parsed = SubmissionId.parse(text, created);
+        if (parsed instanceof SubmissionId.ParseResult.Invalid invalid) {
             throw new BadBodyException("id: " + invalid.reason());
         }
-        return ((SubmissionId.Parsed.Valid) parsed).id();
+        return ((SubmissionId.ParseResult.Valid) parsed).id();
     }
 
     private static List<TaskSpec> single(JobBody body) throws BadBodyException {
         require(body.payload() != null, "payload", "text");
         require(body.tasks() == null, "tasks", "nothing, in a request to a service");
-        return List.of(new TaskSpec(0, Need.NONE, DEFAULT_EXPECTED_MS, body.payload()));
+        return List.of(new TaskSpec(0, Resources.NONE, DEFAULT_EXPECTED_MS, body.payload()));
     }
 
     private List<TaskSpec> tasks(JobBody body) throws BadBodyException {
@@ -157,7 +157,7 @@
                 task.expectedMs() >= 0 && task.expectedMs() <= MOST_TIMEOUT_MS,
                 name + ".expectedMs",
                 "0 to " + MOST_TIMEOUT_MS);
-        Need need = new Need(task.cpuMillis(), task.memoryMb(), task.accelerators());
+        Resources need = new Resources(task.cpuMillis(), task.memoryMb(), task.accelerators());
         long expectedMs = task.expectedMs() == 0 ? DEFAULT_EXPECTED_MS : task.expectedMs();
         return new TaskSpec(index, need, expectedMs, task.payload());
     }
--- a/entry/src/main/java/org/boragegap/entry/BundleChecker.java
+++ b/entry/src/main/java/org/boragegap/entry/BundleChecker.java
@@ -63,22 +63,22 @@
     public CheckedBundle check(Bundle bundle) {
         if (validSigners(bundle).size() < mRequired) {
             String problem = "needs valid signatures of " + mRequired + " known signers";
-            return CheckedBundle.bad(bundle, problem);
+            return CheckedBundle.invalid(bundle, problem);
         }
         BundleContent content;
         try {
             content = sMapper.readValue(bundle.body(), BundleContent.class);
         } catch (JsonProcessingException e) {
-            return CheckedBundle.bad(bundle, "body can't be read: " + e.getOriginalMessage());
+            return CheckedBundle.invalid(bundle, "body can't be read: " + e.getOriginalMessage());
         }
         if (content == null || content.teams() == null || content.kinds() == null) {
-            return CheckedBundle.bad(bundle, "body must have teams and kinds");
+            return CheckedBundle.invalid(bundle, "body must have teams and kinds");
         }
         Optional<String> problem = content.problem();
         if (problem.isPresent()) {
-            return CheckedBundle.bad(bundle, problem.get());
+            return CheckedBundle.invalid(bundle, problem.get());
         }
-        return CheckedBundle.good(bundle, content);
+        return CheckedBundle.valid(bundle, content);
     }
 
     private Set<String> validSigners(Bundle bundle) {
--- a/entry/src/main/java/org/boragegap/entry/BundleDesk.java
+++ b/entry/src/main/java/org/boragegap/entry/BundleDesk.java
@@ -60,11 +60,13 @@
         String publication =
                 dispatcher
                         .bundles()
-                        .inForce()
+                        .active()
                         .map(checked -> checked.bundle().publication())
                         .orElse("");
         return new Status(
-                dispatcher.bundles().version(), publication, dispatcher.bundles().sinceWallMs());
+                dispatcher.bundles().version(),
+                publication,
+                dispatcher.bundles().activeSinceWallMs());
     }
 
     void publish(HttpIn in) {
@@ -91,12 +93,12 @@
 
     private void awaitVerdict(HttpIn in, Bundle bundle, long untilMs) {
         mFollower.poll();
-        mLoop.ask(dispatcher -> dispatcher.bundles().verdict(bundle.publication()))
+        mLoop.ask(dispatcher -> dispatcher.bundles().publicationResult(bundle.publication()))
                 .thenAccept(verdict -> onVerdict(in, bundle, untilMs, verdict));
     }
 
     private void onVerdict(HttpIn in, Bundle bundle, long untilMs, Optional<String> verdict) {
-        if (verdict.isPresent() && BundleChain.accepted(verdict.get())) {
+        if (verdict.isPresent() && BundleChain.isAccepted(verdict.get())) {
             in.reply(OK, "{\"accepted\":true,\"version\":" + bundle.version() + "}");
         } else if (verdict.isPresent()) {
             refuse(in, CONFLICT, verdict.get());
--- a/entry/src/main/java/org/boragegap/entry/CallerApi.java
+++ b/entry/src/main/java/org/boragegap/entry/CallerApi.java
@@ -86,9 +86,9 @@
     }
 
     private void onJob(HttpIn in, String text) {
-        SubmissionId.Parsed parsed = SubmissionId.parse(text, created(in));
-        if (!(parsed instanceof SubmissionId.Parsed.Valid valid)) {
-            String reason = ((SubmissionId.Parsed.Invalid) parsed).reason();
+        SubmissionId.ParseResult parsed = SubmissionId.parse(text, created(in));
+        if (!(parsed instanceof SubmissionId.ParseResult.Valid valid)) {
+            String reason = ((SubmissionId.ParseResult.Invalid) parsed).reason();
             problem(in, Problem.badRequest("id: " + reason));
             return;
         }
--- a/standin/src/main/java/org/boragegap/standin/TargetStandin.java
+++ b/standin/src/main/java/org/boragegap/standin/TargetStandin.java
@@ -9,8 +9,8 @@
 import java.util.concurrent.ScheduledFuture;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
-import org.boragegap.core.job.Need;
 import org.boragegap.core.job.RefusalCause;
+import org.boragegap.core.job.Resources;
 import org.boragegap.core.placement.Role;
 import org.boragegap.http.HttpEndpoint;
 import org.boragegap.http.HttpIn;
@@ -36,7 +36,7 @@
 
     private final HttpEndpoint mEndpoint;
     private final Role mRole;
-    private final Need mCapacity;
+    private final Resources mCapacity;
     private final int mSlots;
     private final ScheduledExecutorService mTimer;
     private final Map<String, AtomicInteger> mStarts = new ConcurrentHashMap<>();
@@ -53,7 +53,7 @@
             String host,
             int port,
             Role role,
-            Need capacity,
+            Resources capacity,
             int slots,
             ScheduledExecutorService timer) {
         mEndpoint =
@@ -66,14 +66,14 @@
 
     /** Makes a worker. */
     public static TargetStandin worker(
-            String host, int port, Need capacity, int slots, ScheduledExecutorService timer) {
+            String host, int port, Resources capacity, int slots, ScheduledExecutorService timer) {
         return new TargetStandin(host, port, Role.WORKER, capacity, slots, timer);
     }
 
     /** Makes a minion. */
     public static TargetStandin minion(
             String host, int port, int slots, ScheduledExecutorService timer) {
-        return new TargetStandin(host, port, Role.MINION, Need.NONE, slots, timer);
+        return new TargetStandin(host, port, Role.MINION, Resources.NONE, slots, timer);
     }
 
     @Override
@@ -151,7 +151,8 @@
 
     private static void refuse(HttpIn in, TaskOrder order, RefusalCause cause) {
         TaskReport report =
-                new TaskReport(order.submission(), order.index(), null, 0, Need.NONE, cause, null);
+                new TaskReport(
+                        order.submission(), order.index(), null, 0, Resources.NONE, cause, null);
         in.reply(REFUSED, PlatformJson.write(report));
     }
 
@@ -220,7 +221,7 @@
         HttpIn in = task.in();
         TaskOrder order = task.order();
         long tookMs = System.nanoTime() / 1_000_000 - task.startedMs();
-        Need used = new Need(cpuMillis(task), order.need().memoryMb(), 0);
+        Resources used = new Resources(cpuMillis(task), order.need().memoryMb(), 0);
         switch (mode) {
             case DROP -> in.drop();
             case FAIL_ALL -> in.reply(FAILED, report(order, null, 0, used, "it failed"));
@@ -238,7 +239,7 @@
     }
 
     private static String report(
-            TaskOrder order, String result, long tookMs, Need used, String error) {
+            TaskOrder order, String result, long tookMs, Resources used, String error) {
         return PlatformJson.write(
                 new TaskReport(
                         order.submission(), order.index(), result, tookMs, used, null, error));
@@ -250,7 +251,7 @@
         Running task = mRunning.remove(key);
         if (ending != null && task != null && ending.cancel(false)) {
             free(task);
-            task.in().reply(FAILED, report(task.order(), null, 0, Need.NONE, "stopped"));
+            task.in().reply(FAILED, report(task.order(), null, 0, Resources.NONE, "stopped"));
         }
         in.reply(OK, "{}");
     }
--- a/wire/src/test/java/org/boragegap/wire/PeerCodecProperties.java
+++ b/wire/src/test/java/org/boragegap/wire/PeerCodecProperties.java
@@ -26,7 +26,7 @@
 import org.boragegap.core.claim.ClaimMessage;
 import org.boragegap.core.claim.DomainView;
 import org.boragegap.core.claim.Member;
-import org.boragegap.core.job.Need;
+import org.boragegap.core.job.Resources;
 import org.boragegap.core.placement.LoanMessage;
 
 /** Peer messages survive the way to MessagePack and back; other bytes are one clear error. */
@@ -63,7 +63,7 @@
 
     @Property(tries = 200, seed = "2")
     void loanMessagesSurvive(@ForAll int count, @ForAll long id) throws WireException {
-        Need need = new Need(count, count, count);
+        Resources need = new Resources(count, count, count);
         LoanMessage.Line line = new LoanMessage.Line(id, "t:1", need, count, id);
         assertSurvives(new PeerMessage.Loans("a:1", new LoanMessage.Ask("s", need, count)));
         assertSurvives(new PeerMessage.Loans("a:1", new LoanMessage.Given("s", List.of(line))));
