--- a/app/src/main/java/org/boragegap/app/SizesRun.java
+++ b/app/src/main/java/org/boragegap/app/SizesRun.java
@@ -145,7 +145,7 @@
         Dispatcher dispatcher =
                 Dispatcher.create(
                         SELF,
-                        DispatchSettings.usual("fd", domains),
+                        DispatchSettings.defaults("fd", domains),
                         ClaimLimits.defaults(),
                         new SplittableRandom(1));
         on(dispatcher, new Event.VmsListed(vmList().vms()));
@@ -153,21 +153,28 @@
     }
 
     private static void on(Dispatcher dispatcher, Event event) {
-        dispatcher.on(event, new ClockReading(1, 1), new ArrayList<>());
+        dispatcher.onEvent(event, new ClockReading(1, 1), new ArrayList<>());
     }
 
     private static double heapPerClaim() {
         double before = usedHeap();
         Dispatcher dispatcher = dispatcher();
         DomainView alone = new DomainView(1, 1, 0, List.of(SELF), List.of(), DomainView.COVERS_ALL);
-        on(dispatcher, new Event.PeerSpoke(OTHER, new ClaimMessage.ViewIs(alone, true, 0, 1, 1)));
+        on(
+                dispatcher,
+                new Event.ClaimMessageReceived(
+                        OTHER, new ClaimMessage.ViewIs(alone, true, 0, 1, 1)));
         DomainView both =
                 new DomainView(2, 2, 1, List.of(SELF, OTHER), List.of(), DomainView.COVERS_ALL);
-        on(dispatcher, new Event.PeerSpoke(OTHER, new ClaimMessage.ViewIs(both, true, 0, 1, 1)));
+        on(
+                dispatcher,
+                new Event.ClaimMessageReceived(
+                        OTHER, new ClaimMessage.ViewIs(both, true, 0, 1, 1)));
         for (int i = 0; i < CLAIMS; i++) {
             on(
                     dispatcher,
-                    new Event.PeerSpoke(OTHER, new ClaimMessage.Request(2, claimOfOther(i))));
+                    new Event.ClaimMessageReceived(
+                            OTHER, new ClaimMessage.Request(2, claimOfOther(i))));
         }
         double perClaim = (usedHeap() - before) / CLAIMS;
         int kept = dispatcher.state(new ClockReading(1, 1)).claimsKept();
--- a/bench/src/main/java/org/boragegap/bench/ClaimBenchmark.java
+++ b/bench/src/main/java/org/boragegap/bench/ClaimBenchmark.java
@@ -82,12 +82,12 @@
     @Benchmark
     public void claim() {
         long number = ++mNextId;
-        long nowMs = number * LIMITS.keepMs() / mKept;
+        long nowMs = number * LIMITS.claimRetentionMs() / mKept;
         ClockReading clock = new ClockReading(1, nowMs);
         List<ClaimAction> out = new ArrayList<>();
         Member self = mMemberList.get(0);
         ClaimKey key = ClaimKey.of("id" + number, nowMs);
-        mProtocols.get(self.address()).want(key, nowMs, 1, clock, out);
+        mProtocols.get(self.address()).requestClaim(key, nowMs, 1, clock, out);
         for (ClaimAction action : out) {
             if (action instanceof ClaimAction.Send send) {
                 acknowledge(self, send, clock);
--- a/bench/src/main/java/org/boragegap/bench/PlacementBenchmark.java
+++ b/bench/src/main/java/org/boragegap/bench/PlacementBenchmark.java
@@ -65,7 +65,7 @@
         mDispatcher =
                 Dispatcher.create(
                         new Member("vm:1", 1),
-                        DispatchSettings.usual(DOMAIN, List.of(DOMAIN)),
+                        DispatchSettings.defaults(DOMAIN, List.of(DOMAIN)),
                         ClaimLimits.defaults(),
                         new SplittableRandom(1));
         List<ListedVm> vms = new ArrayList<>();
@@ -80,7 +80,7 @@
 
     private List<Action> handle(Event event) {
         List<Action> actions = new ArrayList<>();
-        mDispatcher.on(event, new ClockReading(mNextId / 1_000, mNextId / 1_000), actions);
+        mDispatcher.onEvent(event, new ClockReading(mNextId / 1_000, mNextId / 1_000), actions);
         return actions;
     }
 
--- a/core/src/main/java/org/boragegap/core/claim/ClaimAction.java
+++ b/core/src/main/java/org/boragegap/core/claim/ClaimAction.java
@@ -22,7 +22,7 @@
      * Tells what became of a wanted claim.
      *
      * @param key the submission
-     * @param verdict the outcome
+     * @param outcome the outcome
      */
-    record Decide(ClaimKey key, ClaimVerdict verdict) implements ClaimAction {}
+    record Resolve(ClaimKey key, ClaimOutcome outcome) implements ClaimAction {}
 }
--- a/core/src/main/java/org/boragegap/core/claim/ClaimLimits.java
+++ b/core/src/main/java/org/boragegap/core/claim/ClaimLimits.java
@@ -3,20 +3,20 @@
 /**
  * Times that bound the claim protocol, in milliseconds.
  *
- * @param windowMs how long an id stays valid after its creation
- * @param skewMs how far apart two VMs' wall clocks may be
+ * @param idWindowMs how long an id stays valid after its creation
+ * @param clockSkewMs how far apart two VMs' wall clocks may be
  * @param claimTimeoutMs how long a claim waits for acknowledgements
  * @param resendMs pause between two tries of a message that was not answered
  * @param suspectMs silence after which a member is suspected
- * @param retentionMs how long the log keeps a record
+ * @param logRetentionMs how long the log keeps a record
  */
 public record ClaimLimits(
-        long windowMs,
-        long skewMs,
+        long idWindowMs,
+        long clockSkewMs,
         long claimTimeoutMs,
         long resendMs,
         long suspectMs,
-        long retentionMs) {
+        long logRetentionMs) {
 
     /** Limits that fit today's deployments. */
     public static ClaimLimits defaults() {
@@ -24,17 +24,17 @@
     }
 
     /** How long a claim is kept: the window, and what clocks may be apart on both sides of it. */
-    public long keepMs() {
-        return windowMs + 5 * skewMs;
+    public long claimRetentionMs() {
+        return idWindowMs + 5 * clockSkewMs;
     }
 
     /** Age of the last statement of a view at which its members stop using it. */
-    public long lapseMs() {
-        return retentionMs - retentionMs / 4;
+    public long viewExpiryMs() {
+        return logRetentionMs - logRetentionMs / 4;
     }
 
     /** Age of the last statement of a view at which it is stated again. */
-    public long restateMs() {
-        return retentionMs / 4;
+    public long restateAfterMs() {
+        return logRetentionMs / 4;
     }
 }
--- a/core/src/main/java/org/boragegap/core/claim/ClaimVerdict.java
+++ b/core/src/main/java/org/boragegap/core/claim/ClaimOutcome.java
@@ -1,10 +1,10 @@
 package org.boragegap.core.claim;
 
 /** What became of the wish to claim a submission. */
-public sealed interface ClaimVerdict {
+public sealed interface ClaimOutcome {
 
     /** This member alone may start the submission's tasks. */
-    record Granted() implements ClaimVerdict {}
+    record Granted() implements ClaimOutcome {}
 
     /**
      * Another member holds the claim; ask it.
@@ -12,15 +12,15 @@
      * @param holder the member
      * @param reachable whether the holder is part of the current view
      */
-    record HeldBy(Member holder, boolean reachable) implements ClaimVerdict {}
+    record HeldBy(Member holder, boolean reachable) implements ClaimOutcome {}
 
     /** The id was used with another body. */
-    record Conflict() implements ClaimVerdict {}
+    record Conflict() implements ClaimOutcome {}
 
     /**
      * Not claimed here, but an earlier submission of the id can't be ruled out.
      *
      * @param reason one line for the caller
      */
-    record Unknown(String reason) implements ClaimVerdict {}
+    record Unknown(String reason) implements ClaimOutcome {}
 }
--- a/core/src/main/java/org/boragegap/core/claim/ClaimProtocol.java
+++ b/core/src/main/java/org/boragegap/core/claim/ClaimProtocol.java
@@ -18,30 +18,30 @@
  * events and the argument why no submission is granted to two members.
  */
 public final class ClaimProtocol {
-    private static final class Pending {
+    private static final class PendingClaim {
         private final Claim mClaim;
-        private final long mArrivedMs;
-        private final Set<Member> mWaitingFor = new HashSet<>();
-        private long mSentMs;
+        private final long mRequestedMs;
+        private final Set<Member> mAwaitingAckFrom = new HashSet<>();
+        private long mLastSentMs;
 
-        private Pending(Claim claim, long arrivedMs) {
+        private PendingClaim(Claim claim, long arrivedMs) {
             mClaim = claim;
-            mArrivedMs = arrivedMs;
+            mRequestedMs = arrivedMs;
         }
     }
 
     private final Member mSelf;
     private final ClaimLimits mLimits;
-    private final ViewKeeper mViews;
+    private final ViewManager mViews;
     private final ClaimTable mTable = new ClaimTable();
-    private final Map<ClaimKey, Pending> mPending = new HashMap<>();
+    private final Map<ClaimKey, PendingClaim> mPending = new HashMap<>();
     private final ClaimTransfer mTransfer;
-    private long mAttempts;
+    private long mLastAttempt;
 
     private ClaimProtocol(Member self, String domain, ClaimLimits limits, LongSupplier uids) {
         mSelf = self;
         mLimits = limits;
-        mViews = new ViewKeeper(self, domain, limits, uids);
+        mViews = new ViewManager(self, domain, limits, uids);
         mTransfer = new ClaimTransfer(mViews, mTable, limits);
     }
 
@@ -60,12 +60,12 @@
 
     /** The domain's view as last learned. */
     public Optional<DomainView> view() {
-        return mViews.head();
+        return mViews.currentView();
     }
 
     /** True when this member can claim, so that callers may be sent here. */
     public boolean ready(ClockReading clock) {
-        return mViews.usable(clock);
+        return mViews.canClaim(clock);
     }
 
     /** How many submissions are held in memory as claimed. */
@@ -79,14 +79,14 @@
     }
 
     /**
-     * Wants the claim of a submission; the verdict comes as a {@link ClaimAction.Decide}, at the
+     * Wants the claim of a submission; the verdict comes as a {@link ClaimAction.Resolve}, at the
      * latest after the claim timeout.
      *
      * @param key the submission
      * @param createdMs creation time of its id
      * @param fingerprint hash of its body
      */
-    public void want(
+    public void requestClaim(
             ClaimKey key,
             long createdMs,
             long fingerprint,
@@ -95,57 +95,59 @@
         if (mPending.containsKey(key)) {
             return;
         }
-        Optional<ClaimVerdict> known = verdictAtOnce(key, createdMs, fingerprint, clock);
+        Optional<ClaimOutcome> known = immediateOutcome(key, createdMs, fingerprint, clock);
         if (known.isPresent()) {
-            out.add(new ClaimAction.Decide(key, known.get()));
+            out.add(new ClaimAction.Resolve(key, known.get()));
             return;
         }
-        Claim claim = new Claim(key, mSelf, ++mAttempts, createdMs, fingerprint);
-        Pending pending = new Pending(claim, clock.monotonicMs());
+        Claim claim = new Claim(key, mSelf, ++mLastAttempt, createdMs, fingerprint);
+        PendingClaim pending = new PendingClaim(claim, clock.monotonicMs());
         mPending.put(key, pending);
-        ask(pending, clock, out);
+        requestAcknowledgements(pending, clock, out);
     }
 
-    private Optional<ClaimVerdict> verdictAtOnce(
+    private Optional<ClaimOutcome> immediateOutcome(
             ClaimKey key, long createdMs, long fingerprint, ClockReading clock) {
-        if (createdMs < clock.wallMs() - mLimits.windowMs()) {
-            return Optional.of(new ClaimVerdict.Unknown("the id is older than the id window"));
+        if (createdMs < clock.wallMs() - mLimits.idWindowMs()) {
+            return Optional.of(new ClaimOutcome.Unknown("the id is older than the id window"));
         }
-        if (createdMs > clock.wallMs() + mLimits.skewMs()) {
-            return Optional.of(new ClaimVerdict.Unknown("the id's time is in the future"));
+        if (createdMs > clock.wallMs() + mLimits.clockSkewMs()) {
+            return Optional.of(new ClaimOutcome.Unknown("the id's time is in the future"));
         }
         List<Claim> claims = mTable.find(key);
         if (!claims.isEmpty()) {
-            return Optional.of(verdictOn(claims.get(claims.size() - 1), fingerprint));
+            return Optional.of(outcomeForExisting(claims.get(claims.size() - 1), fingerprint));
         }
-        long coverage = mViews.head().map(DomainView::coverageStartMs).orElse(0L);
+        long coverage = mViews.currentView().map(DomainView::coverageStartMs).orElse(0L);
         if (createdMs <= coverage) {
-            return Optional.of(olderThanMemory());
+            return Optional.of(olderThanCoverage());
         }
         return Optional.empty();
     }
 
-    private ClaimVerdict verdictOn(Claim claim, long fingerprint) {
+    private ClaimOutcome outcomeForExisting(Claim claim, long fingerprint) {
         if (claim.fingerprint() != fingerprint) {
-            return new ClaimVerdict.Conflict();
+            return new ClaimOutcome.Conflict();
         }
         if (claim.holder().equals(mSelf)) {
-            return new ClaimVerdict.Unknown("the answer is no longer kept");
+            return new ClaimOutcome.Unknown("the answer is no longer kept");
         }
         return heldBy(claim);
     }
 
-    private ClaimVerdict heldBy(Claim claim) {
-        boolean inView = mViews.head().isPresent() && mViews.head().get().contains(claim.holder());
-        return new ClaimVerdict.HeldBy(claim.holder(), inView);
+    private ClaimOutcome heldBy(Claim claim) {
+        boolean inView =
+                mViews.currentView().isPresent()
+                        && mViews.currentView().get().contains(claim.holder());
+        return new ClaimOutcome.HeldBy(claim.holder(), inView);
     }
 
     /** Gives up a granted claim under which nothing was started. */
     public void release(ClaimKey key, List<ClaimAction> out) {
-        mTable.findBy(key, mSelf).ifPresent(claim -> giveUp(claim, out));
+        mTable.findHeldBy(key, mSelf).ifPresent(claim -> releaseClaim(claim, out));
     }
 
-    private void giveUp(Claim claim, List<ClaimAction> out) {
+    private void releaseClaim(Claim claim, List<ClaimAction> out) {
         mTable.remove(claim.key(), mSelf);
         sendToOthers(new ClaimMessage.Release(claim.key(), claim.attempt()), out);
     }
@@ -156,14 +158,14 @@
     }
 
     /** True when this member has no siblings in its view, or is in none. */
-    public boolean outOfView() {
-        return !mViews.inView() || mViews.head().orElseThrow().members().size() == 1;
+    public boolean hasNoSiblings() {
+        return !mViews.inView() || mViews.currentView().orElseThrow().members().size() == 1;
     }
 
     /** Takes a peer's message. */
     public void onMessage(
             Member from, ClaimMessage message, ClockReading clock, List<ClaimAction> out) {
-        mViews.heard(from, clock);
+        mViews.recordContact(from, clock);
         if (message instanceof ClaimMessage.Request request) {
             onRequest(from, request, clock, out);
         } else if (message instanceof ClaimMessage.Granted granted) {
@@ -174,7 +176,7 @@
             onRelease(from, release);
         } else if (message instanceof ClaimMessage.ViewIs is) {
             if (mViews.onViewIs(from, is, clock, out)) {
-                onHeadChanged(clock, out);
+                onViewChanged(clock, out);
             }
         } else if (message instanceof ClaimMessage.Join) {
             mViews.onJoin(from, clock);
@@ -190,7 +192,7 @@
     /** Takes what a read of the log brought. */
     public void onLog(LogBatch batch, ClockReading clock, List<ClaimAction> out) {
         if (mViews.onLog(batch, clock, out)) {
-            onHeadChanged(clock, out);
+            onViewChanged(clock, out);
         }
     }
 
@@ -199,56 +201,57 @@
      *
      * @param addresses peer addresses that are no longer listed
      */
-    public void onVmsGone(Set<String> addresses) {
-        mViews.onVmsGone(addresses);
+    public void onVmsUnlisted(Set<String> addresses) {
+        mViews.onVmsUnlisted(addresses);
     }
 
     /** Lets time pass: resends, time-outs, heartbeats, view changes. */
     public void onTick(ClockReading clock, List<ClaimAction> out) {
         mViews.onTick(clock, out);
-        mTable.expire(clock.monotonicMs(), mLimits.keepMs());
+        mTable.expire(clock.monotonicMs(), mLimits.claimRetentionMs());
         mTransfer.onTick(clock, out);
-        for (Pending pending : new ArrayList<>(mPending.values())) {
-            if (clock.monotonicMs() - pending.mArrivedMs >= mLimits.claimTimeoutMs()) {
+        for (PendingClaim pending : new ArrayList<>(mPending.values())) {
+            if (clock.monotonicMs() - pending.mRequestedMs >= mLimits.claimTimeoutMs()) {
                 timeOut(pending, out);
-            } else if (clock.monotonicMs() - pending.mSentMs >= mLimits.resendMs()) {
-                ask(pending, clock, out);
+            } else if (clock.monotonicMs() - pending.mLastSentMs >= mLimits.resendMs()) {
+                requestAcknowledgements(pending, clock, out);
             }
         }
     }
 
-    private void onHeadChanged(ClockReading clock, List<ClaimAction> out) {
-        mTransfer.onHeadChanged();
+    private void onViewChanged(ClockReading clock, List<ClaimAction> out) {
+        mTransfer.onViewChanged();
         // Acknowledgements given under the earlier view say nothing about the new one.
-        for (Pending pending : new ArrayList<>(mPending.values())) {
-            pending.mWaitingFor.clear();
-            ask(pending, clock, out);
+        for (PendingClaim pending : new ArrayList<>(mPending.values())) {
+            pending.mAwaitingAckFrom.clear();
+            requestAcknowledgements(pending, clock, out);
         }
     }
 
-    private void ask(Pending pending, ClockReading clock, List<ClaimAction> out) {
-        pending.mSentMs = clock.monotonicMs();
-        if (!mViews.usable(clock)) {
+    private void requestAcknowledgements(
+            PendingClaim pending, ClockReading clock, List<ClaimAction> out) {
+        pending.mLastSentMs = clock.monotonicMs();
+        if (!mViews.canClaim(clock)) {
             return;
         }
-        DomainView view = mViews.head().orElseThrow();
-        if (pending.mWaitingFor.isEmpty()) {
-            Optional<ClaimVerdict> ruledOut = ruledOut(pending.mClaim, view);
+        DomainView view = mViews.currentView().orElseThrow();
+        if (pending.mAwaitingAckFrom.isEmpty()) {
+            Optional<ClaimOutcome> ruledOut = rejectedByView(pending.mClaim, view);
             if (ruledOut.isPresent()) {
                 mPending.remove(pending.mClaim.key());
-                out.add(new ClaimAction.Decide(pending.mClaim.key(), ruledOut.get()));
+                out.add(new ClaimAction.Resolve(pending.mClaim.key(), ruledOut.get()));
                 return;
             }
             mTable.put(pending.mClaim, clock.monotonicMs());
-            pending.mWaitingFor.addAll(view.members());
-            pending.mWaitingFor.remove(mSelf);
+            pending.mAwaitingAckFrom.addAll(view.members());
+            pending.mAwaitingAckFrom.remove(mSelf);
         }
-        if (pending.mWaitingFor.isEmpty()) {
+        if (pending.mAwaitingAckFrom.isEmpty()) {
             grant(pending, out);
             return;
         }
         ClaimMessage request = new ClaimMessage.Request(view.uid(), pending.mClaim);
-        for (Member member : pending.mWaitingFor) {
+        for (Member member : pending.mAwaitingAckFrom) {
             out.add(new ClaimAction.Send(member.address(), request));
         }
     }
@@ -257,50 +260,51 @@
      * What a new view has brought may speak against a claim that was wanted before: a claim by a
      * member that is gone, or a memory that begins after the id was made.
      */
-    private Optional<ClaimVerdict> ruledOut(Claim claim, DomainView view) {
+    private Optional<ClaimOutcome> rejectedByView(Claim claim, DomainView view) {
         if (claim.createdMs() <= view.coverageStartMs()) {
-            return Optional.of(olderThanMemory());
+            return Optional.of(olderThanCoverage());
         }
         for (Claim other : mTable.find(claim.key())) {
             boolean own = other.holder().equals(mSelf);
             if (!own && !view.contains(other.holder())) {
-                return Optional.of(verdictOn(other, claim.fingerprint()));
+                return Optional.of(outcomeForExisting(other, claim.fingerprint()));
             }
         }
         return Optional.empty();
     }
 
-    private static ClaimVerdict olderThanMemory() {
-        return new ClaimVerdict.Unknown("the id is older than this failure domain's memory");
+    private static ClaimOutcome olderThanCoverage() {
+        return new ClaimOutcome.Unknown("the id is older than this failure domain's memory");
     }
 
-    private void grant(Pending pending, List<ClaimAction> out) {
+    private void grant(PendingClaim pending, List<ClaimAction> out) {
         ClaimKey key = pending.mClaim.key();
         mPending.remove(key);
-        out.add(new ClaimAction.Decide(key, new ClaimVerdict.Granted()));
+        out.add(new ClaimAction.Resolve(key, new ClaimOutcome.Granted()));
     }
 
     /**
      * Without everyone's acknowledgement it is never said that nothing was run: a later view,
      * unknown here, may have started the submission a moment ago.
      */
-    private void timeOut(Pending pending, List<ClaimAction> out) {
+    private void timeOut(PendingClaim pending, List<ClaimAction> out) {
         ClaimKey key = pending.mClaim.key();
         mPending.remove(key);
-        giveUp(pending.mClaim, out);
+        releaseClaim(pending.mClaim, out);
         String reason = "no agreement within this failure domain";
-        out.add(new ClaimAction.Decide(key, new ClaimVerdict.Unknown(reason)));
+        out.add(new ClaimAction.Resolve(key, new ClaimOutcome.Unknown(reason)));
     }
 
     private void onRequest(
             Member from, ClaimMessage.Request request, ClockReading clock, List<ClaimAction> out) {
-        boolean sameView = mViews.head().map(DomainView::uid).orElse(0L) == request.viewUid();
-        if (!sameView || !mViews.usable(clock)) {
-            mViews.tellView(from, clock, out);
+        boolean sameView =
+                mViews.currentView().map(DomainView::uid).orElse(0L) == request.viewUid();
+        if (!sameView || !mViews.canClaim(clock)) {
+            mViews.sendView(from, clock, out);
             return;
         }
         Claim claim = request.claim();
-        Optional<Claim> rival = rivalOf(claim);
+        Optional<Claim> rival = conflictingClaim(claim);
         if (rival.isPresent()) {
             ClaimMessage held = new ClaimMessage.Held(claim.key(), claim.attempt(), rival.get());
             out.add(new ClaimAction.Send(from.address(), held));
@@ -319,74 +323,76 @@
      * <p>A rival that is a member of the view is asked by the claimant itself, so it doesn't stand
      * in the way here. One that left the view may have started, and nobody can ask it.
      */
-    private Optional<Claim> rivalOf(Claim claim) {
+    private Optional<Claim> conflictingClaim(Claim claim) {
         for (Claim other : mTable.find(claim.key())) {
             boolean own = other.holder().equals(mSelf);
             if (other.holder().equals(claim.holder())) {
                 continue;
             }
-            if (own ? !yields(claim) : !mViews.head().orElseThrow().contains(other.holder())) {
+            if (own
+                    ? !losesTieTo(claim)
+                    : !mViews.currentView().orElseThrow().contains(other.holder())) {
                 return Optional.of(other);
             }
         }
         return Optional.empty();
     }
 
-    private boolean yields(Claim claim) {
+    private boolean losesTieTo(Claim claim) {
         ClaimKey key = claim.key();
         return mPending.containsKey(key) && key.weight(claim.holder()) > key.weight(mSelf);
     }
 
     private void yieldTo(Claim claim, List<ClaimAction> out) {
-        Pending own = mPending.remove(claim.key());
+        PendingClaim own = mPending.remove(claim.key());
         if (own == null) {
             return;
         }
         mTable.remove(claim.key(), mSelf);
-        decideHeld(own, claim, out);
+        resolveAsHeld(own, claim, out);
     }
 
-    private void decideHeld(Pending own, Claim held, List<ClaimAction> out) {
-        ClaimVerdict verdict = verdictOn(held, own.mClaim.fingerprint());
-        out.add(new ClaimAction.Decide(held.key(), verdict));
+    private void resolveAsHeld(PendingClaim own, Claim held, List<ClaimAction> out) {
+        ClaimOutcome verdict = outcomeForExisting(held, own.mClaim.fingerprint());
+        out.add(new ClaimAction.Resolve(held.key(), verdict));
     }
 
     private void onGranted(
             Member from, ClaimMessage.Granted granted, ClockReading clock, List<ClaimAction> out) {
-        Pending pending = mPending.get(granted.key());
+        PendingClaim pending = mPending.get(granted.key());
         boolean current =
                 pending != null
                         && pending.mClaim.attempt() == granted.attempt()
-                        && mViews.usable(clock)
-                        && mViews.head().orElseThrow().uid() == granted.viewUid();
+                        && mViews.canClaim(clock)
+                        && mViews.currentView().orElseThrow().uid() == granted.viewUid();
         if (!current) {
             return;
         }
-        boolean removed = pending.mWaitingFor.remove(from);
-        if (removed && pending.mWaitingFor.isEmpty()) {
+        boolean removed = pending.mAwaitingAckFrom.remove(from);
+        if (removed && pending.mAwaitingAckFrom.isEmpty()) {
             grant(pending, out);
         }
     }
 
     private void onHeld(ClaimMessage.Held held, ClockReading clock, List<ClaimAction> out) {
-        Pending pending = mPending.get(held.key());
+        PendingClaim pending = mPending.get(held.key());
         if (pending == null || pending.mClaim.attempt() != held.attempt()) {
             return;
         }
         mPending.remove(held.key());
-        giveUp(pending.mClaim, out);
+        releaseClaim(pending.mClaim, out);
         mTable.put(held.held(), clock.monotonicMs());
-        decideHeld(pending, held.held(), out);
+        resolveAsHeld(pending, held.held(), out);
     }
 
     private void onRelease(Member from, ClaimMessage.Release release) {
-        mTable.findBy(release.key(), from)
+        mTable.findHeldBy(release.key(), from)
                 .filter(claim -> claim.attempt() <= release.attempt())
                 .ifPresent(claim -> mTable.remove(claim.key(), from));
     }
 
     private void sendToOthers(ClaimMessage message, List<ClaimAction> out) {
-        for (Member member : mViews.head().map(DomainView::members).orElse(List.of())) {
+        for (Member member : mViews.currentView().map(DomainView::members).orElse(List.of())) {
             if (!member.equals(mSelf)) {
                 out.add(new ClaimAction.Send(member.address(), message));
             }
--- a/core/src/main/java/org/boragegap/core/claim/ClaimTable.java
+++ b/core/src/main/java/org/boragegap/core/claim/ClaimTable.java
@@ -23,7 +23,7 @@
         return entry == null ? List.of() : entry.claims();
     }
 
-    Optional<Claim> findBy(ClaimKey key, Member holder) {
+    Optional<Claim> findHeldBy(ClaimKey key, Member holder) {
         return find(key).stream().filter(claim -> claim.holder().equals(holder)).findFirst();
     }
 
--- a/core/src/main/java/org/boragegap/core/claim/ClaimTransfer.java
+++ b/core/src/main/java/org/boragegap/core/claim/ClaimTransfer.java
@@ -14,33 +14,33 @@
 final class ClaimTransfer {
     private static final int CLAIMS_PER_PART = 2_000;
 
-    private final ViewKeeper mViews;
+    private final ViewManager mViews;
     private final ClaimTable mTable;
     private final ClaimLimits mLimits;
     private final Set<Integer> mFetchedParts = new HashSet<>();
     private long mFetchSentMs = Long.MIN_VALUE / 2;
     private int mFetchRound;
 
-    ClaimTransfer(ViewKeeper views, ClaimTable table, ClaimLimits limits) {
+    ClaimTransfer(ViewManager views, ClaimTable table, ClaimLimits limits) {
         mViews = views;
         mTable = table;
         mLimits = limits;
     }
 
     /** What was fetched under an earlier view is no snapshot of the new one. */
-    void onHeadChanged() {
+    void onViewChanged() {
         mFetchedParts.clear();
         mFetchSentMs = Long.MIN_VALUE / 2;
     }
 
     void onTick(ClockReading clock, List<ClaimAction> out) {
         boolean due = clock.monotonicMs() - mFetchSentMs >= mLimits.resendMs();
-        if (!mViews.inView() || mViews.complete() || !due) {
+        if (!mViews.inView() || mViews.hasAllClaims() || !due) {
             return;
         }
         mFetchSentMs = clock.monotonicMs();
-        DomainView view = mViews.head().orElseThrow();
-        List<Member> veterans = view.veterans();
+        DomainView view = mViews.currentView().orElseThrow();
+        List<Member> veterans = view.establishedMembers();
         if (veterans.isEmpty()) {
             return;
         }
@@ -52,8 +52,8 @@
     }
 
     void onFetch(Member from, ClaimMessage.Fetch fetch, List<ClaimAction> out) {
-        boolean sameView = mViews.head().map(DomainView::uid).orElse(0L) == fetch.viewUid();
-        if (!sameView || !mViews.complete()) {
+        boolean sameView = mViews.currentView().map(DomainView::uid).orElse(0L) == fetch.viewUid();
+        if (!sameView || !mViews.hasAllClaims()) {
             return;
         }
         List<Claim> all = mTable.all();
@@ -71,8 +71,8 @@
     }
 
     void onClaims(ClaimMessage.Claims claims, ClockReading clock) {
-        boolean sameView = mViews.head().map(DomainView::uid).orElse(0L) == claims.viewUid();
-        boolean asked = mViews.inView() && !mViews.complete() && claims.round() == mFetchRound;
+        boolean sameView = mViews.currentView().map(DomainView::uid).orElse(0L) == claims.viewUid();
+        boolean asked = mViews.inView() && !mViews.hasAllClaims() && claims.round() == mFetchRound;
         if (!sameView || !asked) {
             return;
         }
@@ -81,7 +81,7 @@
         }
         mFetchedParts.add(claims.part());
         if (mFetchedParts.size() == claims.parts()) {
-            mViews.onFetched();
+            mViews.onClaimsFetched();
         }
     }
 }
--- a/core/src/main/java/org/boragegap/core/claim/DomainView.java
+++ b/core/src/main/java/org/boragegap/core/claim/DomainView.java
@@ -33,7 +33,7 @@
     }
 
     /** Members that held the parent's claims. */
-    public List<Member> veterans() {
+    public List<Member> establishedMembers() {
         return members.stream().filter(member -> !newcomers.contains(member)).toList();
     }
 
--- a/core/src/main/java/org/boragegap/core/claim/ViewLog.java
+++ b/core/src/main/java/org/boragegap/core/claim/ViewLog.java
@@ -17,31 +17,31 @@
  * higher numbers than an earlier one, and no reader ever goes back to a lower number.
  */
 final class ViewLog {
-    private static final long UNKNOWN = -1;
-    private static final int PROMPT_SHARE_OF_RETENTION = 4;
+    private static final long STATED_TIME_UNKNOWN = -1;
+    private static final int APPEND_DELAY_DIVISOR = 4;
 
     private final long mRetentionMs;
     private final ReadWindow<LoggedView> mWindow = ReadWindow.create();
-    private Optional<DomainView> mHead = Optional.empty();
-    private long mStatedMs = UNKNOWN;
-    private long mFloor = Long.MIN_VALUE;
-    private boolean mHeadFromLog;
+    private Optional<DomainView> mCurrentView = Optional.empty();
+    private long mLastStatedMs = STATED_TIME_UNKNOWN;
+    private long mLowestNumber = Long.MIN_VALUE;
+    private boolean mCurrentFromLog;
 
     ViewLog(long retentionMs) {
         mRetentionMs = retentionMs;
     }
 
-    Optional<DomainView> head() {
-        return mHead;
+    Optional<DomainView> currentView() {
+        return mCurrentView;
     }
 
     /** True when the head was read from the log here, and not only told by a peer. */
-    boolean headFromLog() {
-        return mHeadFromLog;
+    boolean currentFromLog() {
+        return mCurrentFromLog;
     }
 
     /** True when no view record at all is left that this reader has seen. */
-    boolean blank() {
+    boolean empty() {
         return mWindow.isEmpty();
     }
 
@@ -51,12 +51,12 @@
      */
     void readFrom(long firstOffset, long nowMs) {
         if (mWindow.advanceFirstOffset(firstOffset, nowMs)) {
-            mHead = Optional.empty();
-            mHeadFromLog = false;
+            mCurrentView = Optional.empty();
+            mCurrentFromLog = false;
         }
     }
 
-    /** Forgets records that have left the log, for {@link #blank()}. */
+    /** Forgets records that have left the log, for {@link #empty()}. */
     void forgetBefore(long appendedMs) {
         mWindow.removeBefore(appendedMs);
     }
@@ -72,72 +72,73 @@
 
     /** Takes a view that a peer has read from the log; true when it is newer than the head. */
     boolean adopt(DomainView view) {
-        if (!mayFollowFloor(view) || isHead(view)) {
+        if (!notBelowLowest(view) || isCurrent(view)) {
             return false;
         }
-        if (mHead.isPresent() && view.number() <= mHead.get().number()) {
+        if (mCurrentView.isPresent() && view.number() <= mCurrentView.get().number()) {
             return false;
         }
-        install(view, UNKNOWN);
-        mHeadFromLog = false;
+        setCurrent(view, STATED_TIME_UNKNOWN);
+        mCurrentFromLog = false;
         return true;
     }
 
-    private boolean isHead(DomainView view) {
-        return mHead.isPresent() && mHead.get().uid() == view.uid();
+    private boolean isCurrent(DomainView view) {
+        return mCurrentView.isPresent() && mCurrentView.get().uid() == view.uid();
     }
 
-    private boolean mayFollowFloor(DomainView view) {
-        return view.number() >= mFloor;
+    private boolean notBelowLowest(DomainView view) {
+        return view.number() >= mLowestNumber;
     }
 
-    private void install(DomainView view, long statedMs) {
-        mHead = Optional.of(view);
-        mStatedMs = statedMs;
-        mFloor = view.number();
+    private void setCurrent(DomainView view, long statedMs) {
+        mCurrentView = Optional.of(view);
+        mLastStatedMs = statedMs;
+        mLowestNumber = view.number();
     }
 
-    private boolean lapsedAt(long appendedMs) {
-        return mStatedMs != UNKNOWN && appendedMs - mStatedMs >= mRetentionMs;
+    private boolean expiredAt(long appendedMs) {
+        return mLastStatedMs != STATED_TIME_UNKNOWN && appendedMs - mLastStatedMs >= mRetentionMs;
     }
 
     private boolean applyProposal(LoggedView logged) {
         DomainView view = logged.record().view();
-        boolean confirms = isHead(view) && !lapsedAt(logged.appendedMs());
+        boolean confirms = isCurrent(view) && !expiredAt(logged.appendedMs());
         if (!confirms && !follows(view, logged.appendedMs())) {
             return false;
         }
-        install(view, logged.appendedMs());
-        mHeadFromLog = true;
+        setCurrent(view, logged.appendedMs());
+        mCurrentFromLog = true;
         return true;
     }
 
     private boolean follows(DomainView view, long appendedMs) {
         if (view.parentUid() == DomainView.NO_PARENT) {
-            boolean free = mHead.isEmpty() ? mWindow.newestWasOnlyRecord() : lapsedAt(appendedMs);
-            return free && prompt(view, appendedMs) && view.number() > mFloor;
+            boolean free =
+                    mCurrentView.isEmpty() ? mWindow.newestWasOnlyRecord() : expiredAt(appendedMs);
+            return free && appendedPromptly(view, appendedMs) && view.number() > mLowestNumber;
         }
-        return mHead.isPresent()
-                && view.parentUid() == mHead.get().uid()
-                && view.number() == mHead.get().number() + 1;
+        return mCurrentView.isPresent()
+                && view.parentUid() == mCurrentView.get().uid()
+                && view.number() == mCurrentView.get().number() + 1;
     }
 
     /**
      * Guards against a first view whose append took effect long after it was written: its coverage
      * would miss the claims made in between. Such a view is numbered by the time it was written.
      */
-    private boolean prompt(DomainView view, long appendedMs) {
-        return appendedMs - view.number() < mRetentionMs / PROMPT_SHARE_OF_RETENTION;
+    private boolean appendedPromptly(DomainView view, long appendedMs) {
+        return appendedMs - view.number() < mRetentionMs / APPEND_DELAY_DIVISOR;
     }
 
     private boolean applyStatement(LoggedView logged) {
         DomainView view = logged.record().view();
-        if (isHead(view)) {
+        if (isCurrent(view)) {
             return confirm(logged);
         }
-        boolean newer = mHead.isEmpty() || view.number() > mHead.get().number();
+        boolean newer = mCurrentView.isEmpty() || view.number() > mCurrentView.get().number();
         boolean known = mWindow.isCompleteAfter(logged.record().asOf());
-        if (!newer || !known || !mayFollowFloor(view)) {
+        if (!newer || !known || !notBelowLowest(view)) {
             return false;
         }
         restartFrom(logged);
@@ -145,18 +146,18 @@
     }
 
     private boolean confirm(LoggedView logged) {
-        if (lapsedAt(logged.appendedMs())) {
+        if (expiredAt(logged.appendedMs())) {
             return false;
         }
-        mStatedMs = logged.appendedMs();
-        mHeadFromLog = true;
+        mLastStatedMs = logged.appendedMs();
+        mCurrentFromLog = true;
         return true;
     }
 
     /** Takes the stated view as the head after {@code asOf} and applies what came since. */
     private void restartFrom(LoggedView statement) {
-        install(statement.record().view(), statement.appendedMs());
-        mHeadFromLog = true;
+        setCurrent(statement.record().view(), statement.appendedMs());
+        mCurrentFromLog = true;
         for (LoggedView logged : mWindow.recordsAfter(statement.record().asOf())) {
             if (logged.record().kind() == ViewRecord.Kind.PROPOSED) {
                 applyProposal(logged);
--- a/core/src/main/java/org/boragegap/core/claim/ViewKeeper.java
+++ b/core/src/main/java/org/boragegap/core/claim/ViewManager.java
@@ -19,50 +19,50 @@
  * member moves from one view to the next at one instant and acknowledges nothing under a view that
  * it has left, so any one member that is in both views stops the earlier one.
  */
-final class ViewKeeper {
-    private static final int PROPOSE_PAUSE_FACTOR = 5;
-    private static final int HEARTBEATS_PER_SUSPICION = 4;
+final class ViewManager {
+    private static final int PROPOSAL_INTERVAL_FACTOR = 5;
+    private static final int HEARTBEATS_PER_SUSPECT_TIMEOUT = 4;
 
     private final Member mSelf;
     private final String mDomain;
     private final ClaimLimits mLimits;
     private final LongSupplier mUids;
     private final ViewLog mLog;
-    private final Map<Member, Long> mHeardMs = new HashMap<>();
-    private final Map<Member, Long> mJoinersMs = new HashMap<>();
-    private final Set<Member> mGone = new HashSet<>();
+    private final Map<Member, Long> mLastContactMs = new HashMap<>();
+    private final Map<Member, Long> mJoinRequestMs = new HashMap<>();
+    private final Set<Member> mDeparted = new HashSet<>();
     private final Set<Member> mUnlisted = new HashSet<>();
-    private final Set<Member> mCompletePeers = new HashSet<>();
-    private boolean mComplete;
-    private final Map<Member, Long> mSentMs = new HashMap<>();
+    private final Set<Member> mPeersWithAllClaims = new HashSet<>();
+    private boolean mHasAllClaims;
+    private final Map<Member, Long> mPeerSentMs = new HashMap<>();
     private boolean mSawAnyRecord;
-    private boolean mWholeHistory;
-    private boolean mReachedEnd;
-    private long mReadUpTo = -1;
-    private long mStatedMs = Long.MIN_VALUE / 2;
-    private long mProposedMs = Long.MIN_VALUE / 2;
-    private long mRestatedMs = Long.MIN_VALUE / 2;
-    private long mHeartbeatMs = Long.MIN_VALUE / 2;
-    private long mTickMs = Long.MIN_VALUE / 2;
-
-    ViewKeeper(Member self, String domain, ClaimLimits limits, LongSupplier uids) {
+    private boolean mReadFromLogStart;
+    private boolean mAtLogEnd;
+    private long mLastReadOffset = -1;
+    private long mLastStatedMs = Long.MIN_VALUE / 2;
+    private long mLastProposalMs = Long.MIN_VALUE / 2;
+    private long mLastRestatementMs = Long.MIN_VALUE / 2;
+    private long mLastHeartbeatMs = Long.MIN_VALUE / 2;
+    private long mLastTickMs = Long.MIN_VALUE / 2;
+
+    ViewManager(Member self, String domain, ClaimLimits limits, LongSupplier uids) {
         mSelf = self;
         mDomain = domain;
         mLimits = limits;
         mUids = uids;
-        mLog = new ViewLog(limits.retentionMs());
+        mLog = new ViewLog(limits.logRetentionMs());
     }
 
-    Optional<DomainView> head() {
-        return mLog.head();
+    Optional<DomainView> currentView() {
+        return mLog.currentView();
     }
 
     boolean inView() {
-        return head().isPresent() && head().get().contains(mSelf);
+        return currentView().isPresent() && currentView().get().contains(mSelf);
     }
 
-    boolean complete() {
-        return mComplete;
+    boolean hasAllClaims() {
+        return mHasAllClaims;
     }
 
     /**
@@ -72,53 +72,55 @@
      * no view on the log starts a new one, unknown to members that were paused or cut off
      * meanwhile. They stop on their own before that can happen.
      */
-    boolean usable(ClockReading clock) {
-        return mComplete && inView() && clock.monotonicMs() - mStatedMs < mLimits.lapseMs();
+    boolean canClaim(ClockReading clock) {
+        return mHasAllClaims
+                && inView()
+                && clock.monotonicMs() - mLastStatedMs < mLimits.viewExpiryMs();
     }
 
     /** Takes what the log brought; true when the head changed. */
     boolean onLog(LogBatch batch, ClockReading clock, List<ClaimAction> out) {
-        Optional<DomainView> before = head();
-        mWholeHistory = batch.firstOffset() == 0;
+        Optional<DomainView> before = currentView();
+        mReadFromLogStart = batch.firstOffset() == 0;
         mLog.readFrom(batch.firstOffset(), batch.nowMs());
         for (LoggedView logged : batch.views()) {
-            onLogged(logged, clock);
+            onViewRecord(logged, clock);
         }
-        mReadUpTo = batch.nextOffset() - 1;
-        mReachedEnd = batch.atEnd();
-        if (head().isEmpty() || head().equals(before)) {
+        mLastReadOffset = batch.nextOffset() - 1;
+        mAtLogEnd = batch.atEnd();
+        if (currentView().isEmpty() || currentView().equals(before)) {
             return false;
         }
-        onHeadChanged(clock, out);
+        onViewChanged(clock, out);
         return true;
     }
 
-    private void onLogged(LoggedView logged, ClockReading clock) {
+    private void onViewRecord(LoggedView logged, ClockReading clock) {
         if (!logged.record().domain().equals(mDomain)) {
             return;
         }
         mSawAnyRecord = true;
-        mLog.forgetBefore(logged.appendedMs() - mLimits.retentionMs());
+        mLog.forgetBefore(logged.appendedMs() - mLimits.logRetentionMs());
         if (mLog.apply(logged)) {
-            mStatedMs = clock.monotonicMs() - logged.ageMs();
+            mLastStatedMs = clock.monotonicMs() - logged.ageMs();
         }
     }
 
     /** Takes a peer's view; true when the head changed. */
     boolean onViewIs(
             Member from, ClaimMessage.ViewIs is, ClockReading clock, List<ClaimAction> out) {
-        mSentMs.put(from, is.sentMs());
+        mPeerSentMs.put(from, is.sentMs());
         boolean changed = mLog.adopt(is.view());
         if (changed) {
-            mStatedMs = Long.MIN_VALUE / 2;
+            mLastStatedMs = Long.MIN_VALUE / 2;
         }
-        learnStatement(is);
+        updateLastStated(is);
         if (changed) {
-            onHeadChanged(clock, out);
+            onViewChanged(clock, out);
         }
-        boolean sameView = is.view().uid() == head().map(DomainView::uid).orElse(0L);
+        boolean sameView = is.view().uid() == currentView().map(DomainView::uid).orElse(0L);
         if (sameView && is.complete()) {
-            mCompletePeers.add(from);
+            mPeersWithAllClaims.add(from);
         }
         return changed;
     }
@@ -128,61 +130,63 @@
      * message may have lain in a queue while this process was paused; but it was made after the
      * time of ours that it echoes, so reckoning from there never makes a statement look younger.
      */
-    private void learnStatement(ClaimMessage.ViewIs is) {
-        boolean sameView = is.view().uid() == head().map(DomainView::uid).orElse(0L);
+    private void updateLastStated(ClaimMessage.ViewIs is) {
+        boolean sameView = is.view().uid() == currentView().map(DomainView::uid).orElse(0L);
         if (sameView && is.echoMs() != ClaimMessage.ViewIs.NO_ECHO) {
-            mStatedMs = Math.max(mStatedMs, is.echoMs() - is.statedAgeMs());
+            mLastStatedMs = Math.max(mLastStatedMs, is.echoMs() - is.statedAgeMs());
         }
     }
 
     /** Tells a peer the view that is known here. */
-    void tellView(Member to, ClockReading clock, List<ClaimAction> out) {
-        head().ifPresent(view -> out.add(viewIs(view, to, clock)));
+    void sendView(Member to, ClockReading clock, List<ClaimAction> out) {
+        currentView().ifPresent(view -> out.add(viewMessage(view, to, clock)));
     }
 
-    private ClaimAction viewIs(DomainView view, Member to, ClockReading clock) {
-        long statedAgeMs = clock.monotonicMs() - mStatedMs;
-        long echoMs = mSentMs.getOrDefault(to, ClaimMessage.ViewIs.NO_ECHO);
+    private ClaimAction viewMessage(DomainView view, Member to, ClockReading clock) {
+        long statedAgeMs = clock.monotonicMs() - mLastStatedMs;
+        long echoMs = mPeerSentMs.getOrDefault(to, ClaimMessage.ViewIs.NO_ECHO);
         return new ClaimAction.Send(
                 to.address(),
-                new ClaimMessage.ViewIs(view, mComplete, statedAgeMs, clock.monotonicMs(), echoMs));
-    }
-
-    private void onHeadChanged(ClockReading clock, List<ClaimAction> out) {
-        DomainView view = head().orElseThrow();
-        boolean founder = view.veterans().equals(List.of(mSelf)) && !mComplete;
-        boolean veteran = view.veterans().contains(mSelf);
-        mComplete = veteran && (mComplete || founder);
-        mCompletePeers.clear();
-        mJoinersMs.keySet().removeAll(view.members());
-        mGone.retainAll(view.members());
+                new ClaimMessage.ViewIs(
+                        view, mHasAllClaims, statedAgeMs, clock.monotonicMs(), echoMs));
+    }
+
+    private void onViewChanged(ClockReading clock, List<ClaimAction> out) {
+        DomainView view = currentView().orElseThrow();
+        boolean founder = view.establishedMembers().equals(List.of(mSelf)) && !mHasAllClaims;
+        boolean veteran = view.establishedMembers().contains(mSelf);
+        mHasAllClaims = veteran && (mHasAllClaims || founder);
+        mPeersWithAllClaims.clear();
+        mJoinRequestMs.keySet().removeAll(view.members());
+        mDeparted.retainAll(view.members());
         mUnlisted.retainAll(view.members());
         for (Member member : view.members()) {
-            mHeardMs.put(member, clock.monotonicMs());
+            mLastContactMs.put(member, clock.monotonicMs());
         }
-        mHeardMs.keySet().retainAll(view.members());
-        mSentMs.keySet().retainAll(view.members());
-        if (inView() && view.members().get(0).equals(mSelf) && mLog.headFromLog()) {
-            restate(clock, out);
+        mLastContactMs.keySet().retainAll(view.members());
+        mPeerSentMs.keySet().retainAll(view.members());
+        if (inView() && view.members().get(0).equals(mSelf) && mLog.currentFromLog()) {
+            restateView(clock, out);
         }
-        sendHeartbeat(clock, out);
+        sendHeartbeats(clock, out);
     }
 
-    void heard(Member from, ClockReading clock) {
-        mHeardMs.computeIfPresent(from, (member, before) -> clock.monotonicMs());
-        head().flatMap(view -> view.memberAt(from.address()))
+    void recordContact(Member from, ClockReading clock) {
+        mLastContactMs.computeIfPresent(from, (member, before) -> clock.monotonicMs());
+        currentView()
+                .flatMap(view -> view.memberAt(from.address()))
                 .filter(member -> member.replacedBy(from))
                 .filter(member -> member.incarnation() < from.incarnation())
-                .ifPresent(mGone::add);
+                .ifPresent(mDeparted::add);
     }
 
     /**
      * The platform no longer lists the VMs at these addresses, and they are no newcomers to it. The
      * list may be wrong, so it counts only for members that are silent.
      */
-    void onVmsGone(Set<String> addresses) {
+    void onVmsUnlisted(Set<String> addresses) {
         mUnlisted.clear();
-        for (Member member : head().map(DomainView::members).orElse(List.of())) {
+        for (Member member : currentView().map(DomainView::members).orElse(List.of())) {
             if (addresses.contains(member.address()) && !member.equals(mSelf)) {
                 mUnlisted.add(member);
             }
@@ -191,51 +195,51 @@
 
     /** A member that leaves has finished its work and claims nothing any more. */
     void onLeave(Member from) {
-        if (head().isPresent() && head().get().contains(from)) {
-            mGone.add(from);
+        if (currentView().isPresent() && currentView().get().contains(from)) {
+            mDeparted.add(from);
         }
     }
 
     void onJoin(Member from, ClockReading clock) {
-        if (head().isPresent() && head().get().contains(from)) {
+        if (currentView().isPresent() && currentView().get().contains(from)) {
             return;
         }
-        mJoinersMs.put(from, clock.monotonicMs());
+        mJoinRequestMs.put(from, clock.monotonicMs());
     }
 
     /** All claims that the view covers have been fetched. */
-    void onFetched() {
-        mComplete = true;
+    void onClaimsFetched() {
+        mHasAllClaims = true;
     }
 
     void onTick(ClockReading clock, List<ClaimAction> out) {
-        forgiveOwnPause(clock);
-        if (mReachedEnd && head().isEmpty()) {
-            mLog.forgetBefore(clock.wallMs() - mLimits.retentionMs() - mLimits.skewMs());
+        resetContactsAfterPause(clock);
+        if (mAtLogEnd && currentView().isEmpty()) {
+            mLog.forgetBefore(clock.wallMs() - mLimits.logRetentionMs() - mLimits.clockSkewMs());
             bootstrap(clock, out);
-        } else if (head().isPresent() && !(inView() && mComplete)) {
-            seekPlace(clock, out);
-        } else if (usable(clock)) {
-            tendView(clock, out);
+        } else if (currentView().isPresent() && !(inView() && mHasAllClaims)) {
+            takeOverIfOthersDead(clock, out);
+        } else if (canClaim(clock)) {
+            maintainView(clock, out);
         }
-        if (clock.monotonicMs() - mHeartbeatMs >= heartbeatMs()) {
-            sendHeartbeat(clock, out);
+        if (clock.monotonicMs() - mLastHeartbeatMs >= heartbeatIntervalMs()) {
+            sendHeartbeats(clock, out);
         }
     }
 
     /** After a pause of this process, everyone else only seems to have been silent. */
-    private void forgiveOwnPause(ClockReading clock) {
-        if (clock.monotonicMs() - mTickMs > mLimits.suspectMs() / 2) {
-            mHeardMs.replaceAll((member, heardMs) -> clock.monotonicMs());
+    private void resetContactsAfterPause(ClockReading clock) {
+        if (clock.monotonicMs() - mLastTickMs > mLimits.suspectMs() / 2) {
+            mLastContactMs.replaceAll((member, heardMs) -> clock.monotonicMs());
         }
-        mTickMs = clock.monotonicMs();
+        mLastTickMs = clock.monotonicMs();
     }
 
     private void bootstrap(ClockReading clock, List<ClaimAction> out) {
-        if (!mLog.blank()) {
+        if (!mLog.empty()) {
             return;
         }
-        boolean first = mWholeHistory && !mSawAnyRecord;
+        boolean first = mReadFromLogStart && !mSawAnyRecord;
         long coverage = first ? DomainView.COVERS_ALL : coverageFromNow(clock);
         List<Member> members = List.of(mSelf);
         propose(
@@ -255,23 +259,23 @@
      * clocks of the ids and this clock may each be apart by the bound.
      */
     private long coverageFromNow(ClockReading clock) {
-        return clock.wallMs() + 3 * mLimits.skewMs();
+        return clock.wallMs() + 3 * mLimits.clockSkewMs();
     }
 
-    private void seekPlace(ClockReading clock, List<ClaimAction> out) {
-        DomainView view = head().orElseThrow();
+    private void takeOverIfOthersDead(ClockReading clock, List<ClaimAction> out) {
+        DomainView view = currentView().orElseThrow();
         view.memberAt(mSelf.address())
                 .filter(member -> member.incarnation() < mSelf.incarnation())
-                .ifPresent(mGone::add);
+                .ifPresent(mDeparted::add);
         List<Member> others =
                 view.members().stream().filter(member -> !member.equals(mSelf)).toList();
-        if (mReachedEnd && others.stream().allMatch(member -> dead(member, clock))) {
+        if (mAtLogEnd && others.stream().allMatch(member -> presumedDead(member, clock))) {
             takeOver(view, clock, out);
         }
     }
 
-    private boolean dead(Member member, ClockReading clock) {
-        return mGone.contains(member) || mUnlisted.contains(member) && silent(member, clock);
+    private boolean presumedDead(Member member, ClockReading clock) {
+        return mDeparted.contains(member) || mUnlisted.contains(member) && silent(member, clock);
     }
 
     /** All former members are proved dead, so nothing but coverage is lost by starting afresh. */
@@ -288,33 +292,36 @@
                 out);
     }
 
-    private void tendView(ClockReading clock, List<ClaimAction> out) {
-        DomainView view = head().orElseThrow();
-        boolean oldStatement = clock.monotonicMs() - mStatedMs >= mLimits.restateMs();
-        boolean fromLog = mLog.headFromLog();
-        boolean pause = clock.monotonicMs() - mRestatedMs >= mLimits.restateMs() / 8;
+    private void maintainView(ClockReading clock, List<ClaimAction> out) {
+        DomainView view = currentView().orElseThrow();
+        boolean oldStatement = clock.monotonicMs() - mLastStatedMs >= mLimits.restateAfterMs();
+        boolean fromLog = mLog.currentFromLog();
+        boolean pause = clock.monotonicMs() - mLastRestatementMs >= mLimits.restateAfterMs() / 8;
         if (oldStatement && pause && fromLog) {
-            restate(clock, out);
+            restateView(clock, out);
         }
         Set<Member> next = nextMembers(view, clock);
-        boolean mine = clock.monotonicMs() - heardLeaderMs(view, clock) >= myTurnMs(view, clock);
+        boolean mine =
+                clock.monotonicMs() - lastLeaderContactMs(view, clock)
+                        >= proposalDelayMs(view, clock);
         if (!next.equals(new LinkedHashSet<>(view.members())) && mine) {
-            proposeNext(view, next, clock, out);
+            proposeNextView(view, next, clock, out);
         }
     }
 
-    private long heardLeaderMs(DomainView view, ClockReading clock) {
-        return leaders(view, clock).get(0).equals(mSelf)
+    private long lastLeaderContactMs(DomainView view, ClockReading clock) {
+        return unsuspectedMembers(view, clock).get(0).equals(mSelf)
                 ? clock.monotonicMs()
-                : mHeardMs.getOrDefault(leaders(view, clock).get(0), clock.monotonicMs());
+                : mLastContactMs.getOrDefault(
+                        unsuspectedMembers(view, clock).get(0), clock.monotonicMs());
     }
 
     /** The first unsuspected member proposes; the others wait until it falls silent. */
-    private long myTurnMs(DomainView view, ClockReading clock) {
-        return leaders(view, clock).get(0).equals(mSelf) ? 0 : mLimits.suspectMs();
+    private long proposalDelayMs(DomainView view, ClockReading clock) {
+        return unsuspectedMembers(view, clock).get(0).equals(mSelf) ? 0 : mLimits.suspectMs();
     }
 
-    private List<Member> leaders(DomainView view, ClockReading clock) {
+    private List<Member> unsuspectedMembers(DomainView view, ClockReading clock) {
         return view.members().stream()
                 .filter(member -> !suspected(member, clock))
                 .sorted(Comparator.comparing(Member::address))
@@ -325,11 +332,12 @@
         if (member.equals(mSelf)) {
             return false;
         }
-        return mGone.contains(member) || silent(member, clock);
+        return mDeparted.contains(member) || silent(member, clock);
     }
 
     private boolean silent(Member member, ClockReading clock) {
-        long silentMs = clock.monotonicMs() - mHeardMs.getOrDefault(member, clock.monotonicMs());
+        long silentMs =
+                clock.monotonicMs() - mLastContactMs.getOrDefault(member, clock.monotonicMs());
         return silentMs > mLimits.suspectMs();
     }
 
@@ -340,22 +348,24 @@
                 next.add(member);
             }
         }
-        mJoinersMs.values().removeIf(asked -> clock.monotonicMs() - asked > mLimits.suspectMs());
-        for (Member joiner : mJoinersMs.keySet()) {
+        mJoinRequestMs
+                .values()
+                .removeIf(asked -> clock.monotonicMs() - asked > mLimits.suspectMs());
+        for (Member joiner : mJoinRequestMs.keySet()) {
             next.removeIf(member -> member.address().equals(joiner.address()));
             next.add(joiner);
         }
         return next;
     }
 
-    private void proposeNext(
+    private void proposeNextView(
             DomainView view, Set<Member> next, ClockReading clock, List<ClaimAction> out) {
         List<Member> newcomers = new ArrayList<>();
         for (Member member : next) {
             boolean holdsClaims =
                     member.equals(mSelf)
-                            || view.veterans().contains(member)
-                            || mCompletePeers.contains(member);
+                            || view.establishedMembers().contains(member)
+                            || mPeersWithAllClaims.contains(member);
             if (!holdsClaims) {
                 newcomers.add(member);
             }
@@ -377,37 +387,37 @@
 
     /** A proposal whose append may be lost is made again; the log's order makes that harmless. */
     private void propose(DomainView next, ClockReading clock, List<ClaimAction> out) {
-        long pauseMs = PROPOSE_PAUSE_FACTOR * mLimits.resendMs();
-        if (clock.monotonicMs() - mProposedMs < pauseMs) {
+        long pauseMs = PROPOSAL_INTERVAL_FACTOR * mLimits.resendMs();
+        if (clock.monotonicMs() - mLastProposalMs < pauseMs) {
             return;
         }
-        mProposedMs = clock.monotonicMs();
+        mLastProposalMs = clock.monotonicMs();
         out.add(new ClaimAction.Append(ViewRecord.proposal(mDomain, next)));
     }
 
-    private void restate(ClockReading clock, List<ClaimAction> out) {
-        mRestatedMs = clock.monotonicMs();
-        DomainView view = head().orElseThrow();
-        ViewRecord record = ViewRecord.statement(mDomain, view, mReadUpTo);
+    private void restateView(ClockReading clock, List<ClaimAction> out) {
+        mLastRestatementMs = clock.monotonicMs();
+        DomainView view = currentView().orElseThrow();
+        ViewRecord record = ViewRecord.statement(mDomain, view, mLastReadOffset);
         out.add(new ClaimAction.Append(record));
     }
 
-    private long heartbeatMs() {
-        return mLimits.suspectMs() / HEARTBEATS_PER_SUSPICION;
+    private long heartbeatIntervalMs() {
+        return mLimits.suspectMs() / HEARTBEATS_PER_SUSPECT_TIMEOUT;
     }
 
-    private void sendHeartbeat(ClockReading clock, List<ClaimAction> out) {
-        mHeartbeatMs = clock.monotonicMs();
-        if (head().isEmpty()) {
+    private void sendHeartbeats(ClockReading clock, List<ClaimAction> out) {
+        mLastHeartbeatMs = clock.monotonicMs();
+        if (currentView().isEmpty()) {
             return;
         }
-        DomainView view = head().get();
+        DomainView view = currentView().get();
         for (Member member : view.members()) {
             if (member.address().equals(mSelf.address())) {
                 continue;
             }
             if (inView()) {
-                out.add(viewIs(view, member, clock));
+                out.add(viewMessage(view, member, clock));
             } else {
                 out.add(new ClaimAction.Send(member.address(), new ClaimMessage.Join()));
             }
--- a/core/src/main/java/org/boragegap/core/dispatch/Action.java
+++ b/core/src/main/java/org/boragegap/core/dispatch/Action.java
@@ -63,7 +63,7 @@
      * @param address peer address
      * @param message the message
      */
-    record Tell(String address, ClaimMessage message) implements Action {}
+    record SendClaimMessage(String address, ClaimMessage message) implements Action {}
 
     /**
      * Sends a sibling a message about room on targets.
@@ -71,7 +71,7 @@
      * @param address peer address
      * @param message the message
      */
-    record TellLoan(String address, LoanMessage message) implements Action {}
+    record SendLoanMessage(String address, LoanMessage message) implements Action {}
 
     /**
      * Hands a submission to another entry VM.
@@ -114,7 +114,7 @@
      * @param address peer address
      * @param version the version, 0 for none
      */
-    record TellBundleVersion(String address, long version) implements Action {}
+    record SendBundleVersion(String address, long version) implements Action {}
 
     /**
      * Gives a peer that is behind the bundle in force.
@@ -122,7 +122,7 @@
      * @param link connection on which it told its version
      * @param bundle the bundle
      */
-    record GiveBundle(long link, Bundle bundle) implements Action {}
+    record SendBundle(long link, Bundle bundle) implements Action {}
 
     /**
      * All work is answered and the process may exit.
@@ -130,5 +130,5 @@
      * @param finished submissions answered since the drain began
      * @param failed those of them that were failed at the bound
      */
-    record Drained(long finished, long failed) implements Action {}
+    record ReportDrained(long finished, long failed) implements Action {}
 }
--- a/core/src/main/java/org/boragegap/core/dispatch/Admission.java
+++ b/core/src/main/java/org/boragegap/core/dispatch/Admission.java
@@ -38,17 +38,17 @@
     }
 
     /** Why the submission can't be taken now, if it can't; nothing of it was run then. */
-    Optional<Answer.Failed> objection(Submission submission, ClockReading clock) {
+    Optional<Answer.Failed> rejection(Submission submission, ClockReading clock) {
         Optional<Answer.Failed> impossible = impossible(submission);
         if (impossible.isPresent()) {
             return impossible;
         }
         long spread = submission.id().claimKey().low();
-        double waitMs = expectedWaitMs(JobBoard.serviceOf(submission), clock);
+        double waitMs = expectedWaitMs(JobScheduler.serviceOf(submission), clock);
         if (mBacklog.tasks() + submission.tasks().size() > mSettings.maxQueuedTasks()) {
             return Optional.of(notRun("the queue is full", RetryAfter.delayMs(waitMs, spread)));
         }
-        if (!mTargets.hasTargets(JobBoard.serviceOf(submission))) {
+        if (!mTargets.hasTargets(JobScheduler.serviceOf(submission))) {
             return Optional.of(
                     notRun("no target is known for it", RetryAfter.delayMs(waitMs, spread)));
         }
@@ -64,7 +64,7 @@
         if (mBundle.get().teamQuota(submission.team()).maxRunning() == 0) {
             return Optional.of(impossible("the team's quota is zero"));
         }
-        String service = JobBoard.serviceOf(submission);
+        String service = JobScheduler.serviceOf(submission);
         for (TaskSpec task : submission.tasks()) {
             if (mTargets.hasTargets(service) && !mTargets.canEverFit(service, task.need())) {
                 return Optional.of(
--- a/core/src/main/java/org/boragegap/core/dispatch/Backlog.java
+++ b/core/src/main/java/org/boragegap/core/dispatch/Backlog.java
@@ -5,23 +5,23 @@
 
 /** How much work waits for a target, by service. */
 final class Backlog {
-    private static final class Amount {
+    private static final class ServiceBacklog {
         private int mTasks;
         private double mWorkMs;
     }
 
-    private final Map<String, Amount> mByService = new HashMap<>();
+    private final Map<String, ServiceBacklog> mByService = new HashMap<>();
     private int mTasks;
 
     void add(String service, int tasks, double workMs) {
-        Amount amount = mByService.computeIfAbsent(service, name -> new Amount());
+        ServiceBacklog amount = mByService.computeIfAbsent(service, name -> new ServiceBacklog());
         amount.mTasks += tasks;
         amount.mWorkMs += workMs;
         mTasks += tasks;
     }
 
     void remove(String service, int tasks, double workMs) {
-        Amount amount = mByService.get(service);
+        ServiceBacklog amount = mByService.get(service);
         amount.mTasks -= tasks;
         amount.mWorkMs = amount.mTasks == 0 ? 0 : Math.max(0, amount.mWorkMs - workMs);
         mTasks -= tasks;
@@ -32,7 +32,7 @@
     }
 
     double workMs(String service) {
-        Amount amount = mByService.get(service);
+        ServiceBacklog amount = mByService.get(service);
         return amount == null ? 0 : amount.mWorkMs;
     }
 
--- a/core/src/main/java/org/boragegap/core/dispatch/BundleCourier.java
+++ b/core/src/main/java/org/boragegap/core/dispatch/BundleDistributor.java
@@ -11,20 +11,20 @@
 import org.boragegap.core.claim.LogBatch;
 
 /** Brings the bundle in force to other VMs and keeps it on the log. */
-final class BundleCourier {
-    private static final long TELL_EVERY_MS = 1_000;
+final class BundleDistributor {
+    private static final long VERSION_INTERVAL_MS = 1_000;
 
     private final BundleChain mChain;
     private final List<String> mDomains;
     private final Set<String> mSelf;
     private final ClaimLimits mLimits;
     private final Counters mCounters;
-    private long mReadUpTo = -1;
-    private long mToldMs = Long.MIN_VALUE / 2;
-    private long mStatedMs = Long.MIN_VALUE / 2;
+    private long mLastReadOffset = -1;
+    private long mLastVersionSentMs = Long.MIN_VALUE / 2;
+    private long mLastStatedMs = Long.MIN_VALUE / 2;
 
-    BundleCourier(List<String> domains, String self, ClaimLimits limits, Counters counters) {
-        mChain = BundleChain.create(limits.retentionMs());
+    BundleDistributor(List<String> domains, String self, ClaimLimits limits, Counters counters) {
+        mChain = BundleChain.create(limits.logRetentionMs());
         mDomains = domains;
         mSelf = Set.of(self);
         mLimits = limits;
@@ -40,49 +40,49 @@
         for (BundleRecord record : records) {
             mChain.apply(record, clock.wallMs());
             if (record.bundle().bundle().version() == mChain.version()) {
-                mStatedMs = clock.monotonicMs();
+                mLastStatedMs = clock.monotonicMs();
             }
         }
-        mReadUpTo = batch.nextOffset() - 1;
+        mLastReadOffset = batch.nextOffset() - 1;
     }
 
     void onTick(EntryVms peers, ClockReading clock, List<Action> out) {
-        tellVersion(peers, clock, out);
-        restate(clock, out);
+        sendVersion(peers, clock, out);
+        restateBundle(clock, out);
     }
 
     /**
      * One peer in each failure domain hears the version from time to time and gives its bundle if
      * that is newer, so a domain that is cut off from the log gets it from any peer it reaches.
      */
-    private void tellVersion(EntryVms peers, ClockReading clock, List<Action> out) {
-        if (clock.monotonicMs() - mToldMs < TELL_EVERY_MS) {
+    private void sendVersion(EntryVms peers, ClockReading clock, List<Action> out) {
+        if (clock.monotonicMs() - mLastVersionSentMs < VERSION_INTERVAL_MS) {
             return;
         }
-        mToldMs = clock.monotonicMs();
+        mLastVersionSentMs = clock.monotonicMs();
         for (String domain : mDomains) {
             Optional<String> peer = peers.pick(domain, mSelf, clock.monotonicMs());
             peer.ifPresent(
-                    address -> out.add(new Action.TellBundleVersion(address, mChain.version())));
+                    address -> out.add(new Action.SendBundleVersion(address, mChain.version())));
         }
     }
 
-    void onVersionTold(long link, long version, List<Action> out) {
+    void onVersionReceived(long link, long version, List<Action> out) {
         if (version < mChain.version()) {
-            mCounters.add(Counters.Name.BUNDLES_PASSED);
-            out.add(new Action.GiveBundle(link, mChain.active().orElseThrow().bundle()));
+            mCounters.increment(Counters.Name.BUNDLES_PASSED);
+            out.add(new Action.SendBundle(link, mChain.active().orElseThrow().bundle()));
         }
     }
 
     /** The log keeps records for a limited time, so the bundle in force is stated again. */
-    private void restate(ClockReading clock, List<Action> out) {
-        boolean due = clock.monotonicMs() - mStatedMs >= mLimits.restateMs();
+    private void restateBundle(ClockReading clock, List<Action> out) {
+        boolean due = clock.monotonicMs() - mLastStatedMs >= mLimits.restateAfterMs();
         if (!due || !mChain.activeFromLog()) {
             return;
         }
-        mStatedMs = clock.monotonicMs();
-        mCounters.add(Counters.Name.APPENDS);
+        mLastStatedMs = clock.monotonicMs();
+        mCounters.increment(Counters.Name.APPENDS);
         Bundle bundle = mChain.active().orElseThrow().bundle();
-        out.add(new Action.RestateBundle(bundle, mReadUpTo));
+        out.add(new Action.RestateBundle(bundle, mLastReadOffset));
     }
 }
--- a/core/src/main/java/org/boragegap/core/dispatch/Counters.java
+++ b/core/src/main/java/org/boragegap/core/dispatch/Counters.java
@@ -43,7 +43,7 @@
     private final Map<Name, Long> mCounts = new EnumMap<>(Name.class);
 
     /** Adds one. */
-    public void add(Name name) {
+    public void increment(Name name) {
         mCounts.merge(name, 1L, Long::sum);
     }
 
--- a/core/src/main/java/org/boragegap/core/dispatch/DispatchSettings.java
+++ b/core/src/main/java/org/boragegap/core/dispatch/DispatchSettings.java
@@ -15,8 +15,8 @@
  * @param refuseHopeless whether work that can't make its deadline is refused at once
  * @param answerKeepMs how long an answer is kept for a resubmission
  * @param startGraceMs how long after the decision a task may still be sent
- * @param retryShare retries earned by one first try
- * @param retryCap most retries saved up
+ * @param retriesPerFirstTry retries earned by one first try
+ * @param maxSavedRetries most retries saved up
  */
 public record DispatchSettings(
         String domain,
@@ -27,11 +27,11 @@
         boolean refuseHopeless,
         long answerKeepMs,
         long startGraceMs,
-        double retryShare,
-        double retryCap) {
+        double retriesPerFirstTry,
+        double maxSavedRetries) {
 
     /** Settings with the usual policies. */
-    public static DispatchSettings usual(String domain, List<String> domains) {
+    public static DispatchSettings defaults(String domain, List<String> domains) {
         return new DispatchSettings(
                 domain,
                 domains,
--- a/core/src/main/java/org/boragegap/core/dispatch/Dispatcher.java
+++ b/core/src/main/java/org/boragegap/core/dispatch/Dispatcher.java
@@ -27,19 +27,19 @@
  * its callers are told. Pure: events and a clock value in, actions out.
  */
 public final class Dispatcher {
-    private static final long VM_GONE_AFTER_MS = 60_000;
+    private static final long VM_UNLISTED_AFTER_MS = 60_000;
 
     private final Member mSelf;
     private final DispatchSettings mSettings;
     private final Counters mCounters = new Counters();
     private final ClaimProtocol mClaims;
     private final List<ClaimAction> mClaimActions = new ArrayList<>();
-    private final BundleCourier mBundles;
+    private final BundleDistributor mBundles;
     private final TargetPool mTargets;
-    private final JobBoard mJobs;
+    private final JobScheduler mJobs;
     private final EntryVms mEntryVms = new EntryVms();
-    private final Intake mIntake;
-    private final Drain mDrain = Drain.none();
+    private final SubmissionRouter mRouter;
+    private final Drain mDrain = Drain.notStarted();
     private final Map<String, String> mOwners = new HashMap<>();
     private final Set<String> mSiblings = new HashSet<>();
     private long mOwnersViewUid;
@@ -51,11 +51,11 @@
         mSettings = settings;
         mClaims =
                 ClaimProtocol.create(self, settings.domain(), limits, () -> 1 | random.nextLong());
-        mBundles = new BundleCourier(settings.domains(), self.address(), limits, mCounters);
+        mBundles = new BundleDistributor(settings.domains(), self.address(), limits, mCounters);
         mTargets = TargetPool.create(settings.placement(), random);
         mTargets.setOwned(this::owns);
         mJobs =
-                new JobBoard(
+                new JobScheduler(
                         self.incarnation(),
                         settings,
                         mTargets,
@@ -63,8 +63,8 @@
                         this::siblings,
                         mCounters,
                         this::releaseClaim);
-        mIntake =
-                new Intake(
+        mRouter =
+                new SubmissionRouter(
                         self.address(),
                         settings,
                         mClaims,
@@ -88,41 +88,41 @@
     }
 
     /** Takes an event and appends the actions that follow from it. */
-    public void on(Event event, ClockReading clock, List<Action> out) {
+    public void onEvent(Event event, ClockReading clock, List<Action> out) {
         handle(event, clock, out);
-        followView();
-        settleClaims(clock, out);
-        mJobs.pump(clock, out);
-        settleClaims(clock, out);
+        updateOwnership();
+        executeClaimActions(clock, out);
+        mJobs.startQueuedTasks(clock, out);
+        executeClaimActions(clock, out);
     }
 
     private void handle(Event event, ClockReading clock, List<Action> out) {
         if (event instanceof Event.Submitted submitted) {
-            mIntake.onSubmitted(submitted, clock, out);
+            mRouter.onSubmitted(submitted, clock, out);
         } else if (event instanceof Event.AttemptEnded ended) {
             mJobs.onAttemptEnded(ended.attempt(), ended.outcome(), clock, out);
-        } else if (event instanceof Event.PeerSpoke spoke) {
+        } else if (event instanceof Event.ClaimMessageReceived spoke) {
             mClaims.onMessage(spoke.from(), spoke.message(), clock, mClaimActions);
-        } else if (event instanceof Event.SiblingLent lent) {
+        } else if (event instanceof Event.LoanMessageReceived lent) {
             mJobs.onLoanMessage(lent.from(), lent.message(), clock, out);
         } else if (event instanceof Event.ForwardAnswered answered) {
-            mIntake.onForwardAnswered(answered, out);
+            mRouter.onForwardAnswered(answered, out);
         } else if (event instanceof Event.ForwardLost lost) {
-            mIntake.onForwardLost(lost, clock, out);
+            mRouter.onForwardLost(lost, clock, out);
         } else if (event instanceof Event.Cancelled cancelled) {
             onCancelled(cancelled, clock, out);
         } else if (event instanceof Event.LogRead read) {
             mClaims.onLog(read.batch(), clock, mClaimActions);
             mBundles.onLogRead(read.batch(), read.bundles(), clock);
-        } else if (event instanceof Event.BundleVersionTold told) {
-            mBundles.onVersionTold(told.link(), told.version(), out);
-        } else if (event instanceof Event.BundlePassedOn passed) {
+        } else if (event instanceof Event.BundleVersionReceived told) {
+            mBundles.onVersionReceived(told.link(), told.version(), out);
+        } else if (event instanceof Event.BundleReceived passed) {
             mBundles.chain().adopt(passed.bundle(), clock.wallMs());
         } else if (event instanceof Event.VmsListed listed) {
             onVmsListed(listed.vms(), clock);
-        } else if (event instanceof Event.DrainAsked asked) {
-            mIntake.drain();
-            mDrain.start(clock.monotonicMs() + asked.boundMs(), answered());
+        } else if (event instanceof Event.DrainRequested asked) {
+            mRouter.drain();
+            mDrain.start(clock.monotonicMs() + asked.timeoutMs(), answeredCount());
         } else if (event instanceof Event.Ticked) {
             onTick(clock, out);
         }
@@ -137,9 +137,9 @@
     public boolean busy() {
         return mJobs.unanswered() > 0
                 || mJobs.runningAttempts() > 0
-                || mJobs.lent() > 0
+                || mJobs.lentSlots() > 0
                 || mClaims.claimsPending() > 0
-                || !mIntake.idle()
+                || !mRouter.idle()
                 || mDrain.active();
     }
 
@@ -165,7 +165,7 @@
 
     /** Other VMs that may hold a submission which is not known here. */
     public Set<String> likelyHolders(SubmissionId id) {
-        return mIntake.likelyHolders(id);
+        return mRouter.likelyHolders(id);
     }
 
     /** What this dispatcher believes, for a dump. */
@@ -182,18 +182,18 @@
                 mJobs.unanswered(),
                 mJobs.queuedTasks(),
                 mJobs.runningAttempts(),
-                mIntake.forwards(),
+                mRouter.forwards(),
                 mJobs.runningByTeam(),
                 mEntryVms.byDomain(),
                 mTargets.all().stream()
-                        .map(target -> TargetBelief.of(target, owns(target.target())))
+                        .map(target -> TargetSummary.of(target, owns(target.target())))
                         .toList(),
                 mBundles.chain().version(),
                 mBundles.chain().activeSinceWallMs(),
                 mCounters.all());
     }
 
-    private long answered() {
+    private long answeredCount() {
         return mCounters.count(Counters.Name.COMPLETE)
                 + mCounters.count(Counters.Name.FAILED)
                 + mCounters.count(Counters.Name.MAY_HAVE_RUN)
@@ -214,7 +214,7 @@
     }
 
     /** A new view divides the targets anew. */
-    private void followView() {
+    private void updateOwnership() {
         long uid = mClaims.view().map(DomainView::uid).orElse(0L);
         if (uid == mOwnersViewUid) {
             return;
@@ -239,25 +239,25 @@
         return owner.equals(mSelf.address());
     }
 
-    private void settleClaims(ClockReading clock, List<Action> out) {
+    private void executeClaimActions(ClockReading clock, List<Action> out) {
         while (!mClaimActions.isEmpty()) {
             List<ClaimAction> actions = List.copyOf(mClaimActions);
             mClaimActions.clear();
             for (ClaimAction action : actions) {
-                settle(action, clock, out);
+                executeClaimAction(action, clock, out);
             }
         }
     }
 
-    private void settle(ClaimAction action, ClockReading clock, List<Action> out) {
+    private void executeClaimAction(ClaimAction action, ClockReading clock, List<Action> out) {
         if (action instanceof ClaimAction.Send send) {
-            mCounters.add(Counters.Name.CLAIM_MESSAGES);
-            out.add(new Action.Tell(send.address(), send.message()));
+            mCounters.increment(Counters.Name.CLAIM_MESSAGES);
+            out.add(new Action.SendClaimMessage(send.address(), send.message()));
         } else if (action instanceof ClaimAction.Append append) {
-            mCounters.add(Counters.Name.APPENDS);
+            mCounters.increment(Counters.Name.APPENDS);
             out.add(new Action.AppendView(append.record()));
-        } else if (action instanceof ClaimAction.Decide decide) {
-            mIntake.onDecided(decide, clock, out);
+        } else if (action instanceof ClaimAction.Resolve decide) {
+            mRouter.onClaimResolved(decide, clock, out);
         }
     }
 
@@ -276,7 +276,7 @@
         if (event.hops() > 0) {
             return;
         }
-        for (String address : mIntake.likelyHolders(event.id())) {
+        for (String address : mRouter.likelyHolders(event.id())) {
             out.add(new Action.ForwardCancel(address, event.id(), event.hops() + 1));
         }
     }
@@ -298,10 +298,10 @@
     }
 
     private void onTick(ClockReading clock, List<Action> out) {
-        mClaims.onVmsGone(mEntryVms.goneFor(VM_GONE_AFTER_MS, clock.monotonicMs()));
+        mClaims.onVmsUnlisted(mEntryVms.unlistedFor(VM_UNLISTED_AFTER_MS, clock.monotonicMs()));
         mClaims.onTick(clock, mClaimActions);
         mJobs.onTick(clock, out);
-        mIntake.onTick(clock, out);
+        mRouter.onTick(clock, out);
         mBundles.onTick(mEntryVms, clock, out);
         advanceDrain(clock, out);
     }
@@ -314,15 +314,15 @@
         if (overdue) {
             mDrain.addFailed(mJobs.failAll("this VM is going away", clock, out));
         }
-        boolean idle = mJobs.unanswered() == 0 && mIntake.idle() && mJobs.runningAttempts() == 0;
+        boolean idle = mJobs.unanswered() == 0 && mRouter.idle() && mJobs.runningAttempts() == 0;
         if (!idle && !overdue) {
             return;
         }
-        if (mDrain.leave(clock.monotonicMs())) {
+        if (mDrain.startLeaving(clock.monotonicMs())) {
             mClaims.leave(mClaimActions);
         }
-        if (overdue || mClaims.outOfView() || mDrain.leftLongAgo(clock.monotonicMs())) {
-            out.add(mDrain.report(answered()));
+        if (overdue || mClaims.hasNoSiblings() || mDrain.leaveTimedOut(clock.monotonicMs())) {
+            out.add(mDrain.report(answeredCount()));
         }
     }
 }
--- a/core/src/main/java/org/boragegap/core/dispatch/DispatcherState.java
+++ b/core/src/main/java/org/boragegap/core/dispatch/DispatcherState.java
@@ -43,7 +43,7 @@
         int forwards,
         Map<String, Integer> runningByTeam,
         Map<String, List<String>> entryVms,
-        List<TargetBelief> targets,
+        List<TargetSummary> targets,
         long bundleVersion,
         long bundleSinceMs,
         Map<Counters.Name, Long> counters) {}
--- a/core/src/main/java/org/boragegap/core/dispatch/Drain.java
+++ b/core/src/main/java/org/boragegap/core/dispatch/Drain.java
@@ -3,18 +3,18 @@
 /** The progress of a graceful shutdown. */
 final class Drain {
     private boolean mActive;
-    private static final long LEAVE_WITHIN_MS = 2_000;
+    private static final long LEAVE_TIMEOUT_MS = 2_000;
     private static final long NOT_YET = -1;
 
     private boolean mReported;
     private long mLeavingSinceMs = NOT_YET;
-    private long mBoundMs;
+    private long mDeadlineMs;
     private long mAnsweredBefore;
     private long mFailed;
 
     private Drain() {}
 
-    static Drain none() {
+    static Drain notStarted() {
         return new Drain();
     }
 
@@ -24,7 +24,7 @@
             return;
         }
         mActive = true;
-        mBoundMs = boundMs;
+        mDeadlineMs = boundMs;
         mAnsweredBefore = answeredBefore;
     }
 
@@ -37,11 +37,11 @@
     }
 
     boolean overdue(long nowMs) {
-        return mActive && nowMs >= mBoundMs;
+        return mActive && nowMs >= mDeadlineMs;
     }
 
     /** True once: the time to ask the siblings for a view without this VM. */
-    boolean leave(long nowMs) {
+    boolean startLeaving(long nowMs) {
         if (mLeavingSinceMs != NOT_YET) {
             return false;
         }
@@ -50,16 +50,16 @@
     }
 
     /** The siblings did not answer; they will notice by themselves. */
-    boolean leftLongAgo(long nowMs) {
-        return mLeavingSinceMs != NOT_YET && nowMs - mLeavingSinceMs > LEAVE_WITHIN_MS;
+    boolean leaveTimedOut(long nowMs) {
+        return mLeavingSinceMs != NOT_YET && nowMs - mLeavingSinceMs > LEAVE_TIMEOUT_MS;
     }
 
     void addFailed(int failed) {
         mFailed += failed;
     }
 
-    Action.Drained report(long answered) {
+    Action.ReportDrained report(long answered) {
         mReported = true;
-        return new Action.Drained(answered - mAnsweredBefore, mFailed);
+        return new Action.ReportDrained(answered - mAnsweredBefore, mFailed);
     }
 }
--- a/core/src/main/java/org/boragegap/core/dispatch/EntryVms.java
+++ b/core/src/main/java/org/boragegap/core/dispatch/EntryVms.java
@@ -17,12 +17,12 @@
  * not be reached is asked last.
  */
 final class EntryVms {
-    private static final long AVOID_MS = 2_000;
+    private static final long UNREACHABLE_BACKOFF_MS = 2_000;
 
     private final Map<String, List<String>> mByDomain = new HashMap<>();
     private final Map<String, Long> mUnreachableUntilMs = new HashMap<>();
-    private final Map<String, Long> mMissingSinceMs = new HashMap<>();
-    private int mTurn;
+    private final Map<String, Long> mUnlistedSinceMs = new HashMap<>();
+    private int mNextIndex;
 
     void onListed(List<ListedVm> vms, long nowMs) {
         Set<String> before = new HashSet<>();
@@ -39,15 +39,15 @@
         }
         before.removeAll(listed);
         for (String address : before) {
-            mMissingSinceMs.putIfAbsent(address, nowMs);
+            mUnlistedSinceMs.putIfAbsent(address, nowMs);
         }
-        mMissingSinceMs.keySet().removeAll(listed);
+        mUnlistedSinceMs.keySet().removeAll(listed);
     }
 
     /** VMs that were listed once and have been missing from the list for a while. */
-    Set<String> goneFor(long leastMs, long nowMs) {
+    Set<String> unlistedFor(long leastMs, long nowMs) {
         Set<String> gone = new HashSet<>();
-        for (Map.Entry<String, Long> missing : mMissingSinceMs.entrySet()) {
+        for (Map.Entry<String, Long> missing : mUnlistedSinceMs.entrySet()) {
             if (nowMs - missing.getValue() >= leastMs) {
                 gone.add(missing.getKey());
             }
@@ -56,7 +56,7 @@
     }
 
     void onUnreachable(String address, long nowMs) {
-        mUnreachableUntilMs.put(address, nowMs + AVOID_MS);
+        mUnreachableUntilMs.put(address, nowMs + UNREACHABLE_BACKOFF_MS);
     }
 
     /** A VM of the domain other than those given, reachable ones first. */
@@ -74,7 +74,7 @@
         if (chosen.isEmpty()) {
             return Optional.empty();
         }
-        return Optional.of(chosen.get(Math.floorMod(mTurn++, chosen.size())));
+        return Optional.of(chosen.get(Math.floorMod(mNextIndex++, chosen.size())));
     }
 
     Map<String, List<String>> byDomain() {
--- a/core/src/main/java/org/boragegap/core/dispatch/Event.java
+++ b/core/src/main/java/org/boragegap/core/dispatch/Event.java
@@ -21,10 +21,10 @@
      *
      * @param caller who waits for the answer
      * @param submission the submission
-     * @param fresh whether this VM minted the id for it just now
+     * @param newId whether this VM minted the id for it just now
      * @param hops how often it was forwarded
      */
-    record Submitted(CallerRef caller, Submission submission, boolean fresh, int hops)
+    record Submitted(CallerRef caller, Submission submission, boolean newId, int hops)
             implements Event {}
 
     /**
@@ -49,7 +49,7 @@
      * @param from the peer
      * @param message what it said
      */
-    record PeerSpoke(Member from, ClaimMessage message) implements Event {}
+    record ClaimMessageReceived(Member from, ClaimMessage message) implements Event {}
 
     /**
      * A sibling spoke about room on targets.
@@ -57,7 +57,7 @@
      * @param from peer address
      * @param message what it said
      */
-    record SiblingLent(String from, LoanMessage message) implements Event {}
+    record LoanMessageReceived(String from, LoanMessage message) implements Event {}
 
     /**
      * A forwarded submission was answered.
@@ -89,14 +89,14 @@
      * @param link connection on which it did
      * @param version the version
      */
-    record BundleVersionTold(long link, long version) implements Event {}
+    record BundleVersionReceived(long link, long version) implements Event {}
 
     /**
      * A peer gave the bundle that it has in force.
      *
      * @param bundle the bundle
      */
-    record BundlePassedOn(CheckedBundle bundle) implements Event {}
+    record BundleReceived(CheckedBundle bundle) implements Event {}
 
     /**
      * The platform listed the VMs.
@@ -108,9 +108,9 @@
     /**
      * An operator or a signal asks this VM to drain.
      *
-     * @param boundMs how long work in flight may take
+     * @param timeoutMs how long work in flight may take
      */
-    record DrainAsked(long boundMs) implements Event {}
+    record DrainRequested(long timeoutMs) implements Event {}
 
     /** Time passed. */
     record Ticked() implements Event {}
--- a/core/src/main/java/org/boragegap/core/dispatch/Forwards.java
+++ b/core/src/main/java/org/boragegap/core/dispatch/Forwards.java
@@ -14,13 +14,13 @@
     static final class Forward {
         private final Submission mSubmission;
         private final String mAddress;
-        private final int mTry;
+        private final int mHops;
         private final List<CallerRef> mCallers;
 
         private Forward(Submission submission, String address, int tryNumber, List<CallerRef> who) {
             mSubmission = submission;
             mAddress = address;
-            mTry = tryNumber;
+            mHops = tryNumber;
             mCallers = new ArrayList<>(who);
         }
 
@@ -32,8 +32,8 @@
             return mAddress;
         }
 
-        int tryNumber() {
-            return mTry;
+        int hops() {
+            return mHops;
         }
 
         List<CallerRef> callers() {
@@ -74,7 +74,7 @@
     List<Long> expired(long wallMs) {
         List<Long> ids = new ArrayList<>();
         for (Map.Entry<Long, Forward> entry : mById.entrySet()) {
-            if (entry.getValue().submission().deadlineMs() + GRACE_MS <= wallMs) {
+            if (entry.getValue().submission().deadlineMs() + DEADLINE_GRACE_MS <= wallMs) {
                 ids.add(entry.getKey());
             }
         }
@@ -82,5 +82,5 @@
     }
 
     /** The holder answers at the deadline by itself; this is for a holder that doesn't. */
-    private static final long GRACE_MS = 500;
+    private static final long DEADLINE_GRACE_MS = 500;
 }
--- a/core/src/main/java/org/boragegap/core/dispatch/Job.java
+++ b/core/src/main/java/org/boragegap/core/dispatch/Job.java
@@ -22,9 +22,9 @@
     private final Deque<TaskSpec> mQueued = new ArrayDeque<>();
     private final List<CallerRef> mCallers = new ArrayList<>();
     private final Set<Long> mAttempts = new HashSet<>();
-    private final Map<Integer, Set<String>> mAvoid = new HashMap<>();
+    private final Map<Integer, Set<String>> mAvoidedTargets = new HashMap<>();
     private final String[] mResults;
-    private int mMissing;
+    private int mMissingResults;
     private int mMayHaveRun;
     private Optional<Answer> mAnswer = Optional.empty();
 
@@ -34,7 +34,7 @@
         mSequence = sequence;
         mQueued.addAll(submission.tasks());
         mResults = new String[submission.tasks().size()];
-        mMissing = mResults.length;
+        mMissingResults = mResults.length;
     }
 
     Submission submission() {
@@ -47,7 +47,7 @@
     }
 
     /** Expected run time of the tasks that are not started yet. */
-    double leftMs() {
+    double remainingMs() {
         return mWorkMs * mQueued.size() / mResults.length;
     }
 
@@ -63,7 +63,7 @@
         return mAnswer.isPresent() ? Optional.empty() : Optional.ofNullable(mQueued.peek());
     }
 
-    int queued() {
+    int queuedTasks() {
         return mAnswer.isPresent() ? 0 : mQueued.size();
     }
 
@@ -86,12 +86,12 @@
     }
 
     /** Targets that have refused the task, and are not asked again. */
-    Set<String> avoided(TaskSpec task) {
-        return mAvoid.getOrDefault(task.index(), Set.of());
+    Set<String> avoidedTargets(TaskSpec task) {
+        return mAvoidedTargets.getOrDefault(task.index(), Set.of());
     }
 
     void avoid(TaskSpec task, String address) {
-        mAvoid.computeIfAbsent(task.index(), index -> new HashSet<>()).add(address);
+        mAvoidedTargets.computeIfAbsent(task.index(), index -> new HashSet<>()).add(address);
     }
 
     void started(TaskSpec task, long attempt) {
@@ -114,16 +114,16 @@
         mQueued.addFirst(task);
     }
 
-    void result(TaskSpec task, String result) {
+    void addResult(TaskSpec task, String result) {
         mResults[task.index()] = result;
-        mMissing--;
+        mMissingResults--;
     }
 
-    boolean allResults() {
-        return mMissing == 0;
+    boolean hasAllResults() {
+        return mMissingResults == 0;
     }
 
-    Answer complete() {
+    Answer completeAnswer() {
         return new Answer.Complete(List.copyOf(Arrays.asList(mResults)));
     }
 
@@ -132,7 +132,7 @@
         if (mAnswer.isEmpty()) {
             mAnswer = Optional.of(answer);
             mQueued.clear();
-            mAvoid.clear();
+            mAvoidedTargets.clear();
         }
     }
 }
--- a/core/src/main/java/org/boragegap/core/dispatch/JobBoard.java
+++ b/core/src/main/java/org/boragegap/core/dispatch/JobScheduler.java
@@ -30,11 +30,11 @@
 import org.boragegap.core.retry.RetryBudget;
 
 /** The jobs that this VM alone may start: their queue, attempts, results and answers. */
-final class JobBoard {
-    private static final int LOOK_BEHIND = 4;
-    private static final int MOST_REFUSALS = 5;
-    private static final long LEAST_PATIENCE_MS = 1_000;
-    private static final double PATIENCE_FACTOR = 5;
+final class JobScheduler {
+    private static final int BACKFILL_LIMIT = 4;
+    private static final int MAX_REFUSALS = 5;
+    private static final long MIN_RESULT_TIMEOUT_MS = 1_000;
+    private static final double RESULT_TIMEOUT_FACTOR = 5;
 
     private record Attempt(Job job, TaskSpec task, Placer.Allocation place) {}
 
@@ -44,9 +44,9 @@
     private final Supplier<BundleContent> mBundle;
     private final Supplier<Set<String>> mSiblings;
     private final Counters mCounters;
-    private final Consumer<SubmissionId> mOnNothingRun;
+    private final Consumer<SubmissionId> mOnNotRun;
     private final KindStatistics mStatistics = new KindStatistics();
-    private final RetryBudget mRetries;
+    private final RetryBudget mRetryBudget;
     private final Placer mPlacer;
     private final Backlog mBacklog = new Backlog();
     private final Admission mAdmission;
@@ -56,12 +56,12 @@
     private final Map<String, Integer> mRunningByTeam = new HashMap<>();
     private final PriorityQueue<Deadline> mDeadlines =
             new PriorityQueue<>(Comparator.comparingLong(Deadline::wallMs));
-    private final KeptAnswers mKept;
+    private final KeptAnswers mKeptAnswers;
     private long mNextAttempt = 1;
     private long mNextSequence = 1;
     private int mUnanswered;
 
-    JobBoard(
+    JobScheduler(
             long incarnation,
             DispatchSettings settings,
             TargetPool targets,
@@ -69,15 +69,16 @@
             Supplier<Set<String>> siblings,
             Counters counters,
             Consumer<SubmissionId> onNothingRun) {
-        mOnNothingRun = onNothingRun;
+        mOnNotRun = onNothingRun;
         mSettings = settings;
-        mKept = new KeptAnswers(settings.answerKeepMs());
+        mKeptAnswers = new KeptAnswers(settings.answerKeepMs());
         mBundle = bundle;
         mSiblings = siblings;
         mPlacer = Placer.create(targets, incarnation);
         mCounters = counters;
         mAdmission = new Admission(settings, targets, bundle, siblings, mBacklog, mStatistics);
-        mRetries = RetryBudget.create(settings.retryShare(), settings.retryCap());
+        mRetryBudget =
+                RetryBudget.create(settings.retriesPerFirstTry(), settings.maxSavedRetries());
         mQueue = new WorkQueue(settings.order(), this::urgent);
     }
 
@@ -101,7 +102,7 @@
         return mAttempts.size();
     }
 
-    int lent() {
+    int lentSlots() {
         return mPlacer.lentSlots();
     }
 
@@ -114,8 +115,8 @@
     }
 
     /** Why the submission can't be taken now, if it can't; nothing of it was run then. */
-    Optional<Answer.Failed> objection(Submission submission, ClockReading clock) {
-        return mAdmission.objection(submission, clock);
+    Optional<Answer.Failed> rejection(Submission submission, ClockReading clock) {
+        return mAdmission.rejection(submission, clock);
     }
 
     static String serviceOf(Submission submission) {
@@ -131,7 +132,7 @@
         Job job = new Job(submission, workMs, mNextSequence++);
         mJobs.put(submission.id().text(), job);
         mUnanswered++;
-        mBacklog.add(serviceOf(submission), job.queued(), workMs);
+        mBacklog.add(serviceOf(submission), job.queuedTasks(), workMs);
         mDeadlines.add(new Deadline(submission.deadlineMs(), job));
         mQueue.add(job);
         for (CallerRef caller : callers) {
@@ -141,7 +142,7 @@
     }
 
     /** Adds a caller to a job that is known here. */
-    void attach(Job job, CallerRef caller, List<Action> out) {
+    void attachCaller(Job job, CallerRef caller, List<Action> out) {
         out.add(new Action.Accept(caller, job.submission().id()));
         if (job.answer().isPresent()) {
             out.add(new Action.Reply(caller, job.submission().id(), job.answer().get()));
@@ -151,13 +152,13 @@
     }
 
     /** Starts what finds room. */
-    void pump(ClockReading clock, List<Action> out) {
+    void startQueuedTasks(ClockReading clock, List<Action> out) {
         mPlacer.beginRound();
         boolean started = true;
         while (started && mBacklog.tasks() > 0) {
             started = false;
-            for (Job head : mQueue.heads()) {
-                if (startOne(head, clock, out)) {
+            for (Job head : mQueue.firstJobs()) {
+                if (startFirstFitting(head, clock, out)) {
                     started = true;
                     break;
                 }
@@ -165,13 +166,13 @@
         }
         List<LoanAction> loans = new ArrayList<>();
         mPlacer.endRound(mSiblings.get(), mBacklog.tasksByService(), clock.monotonicMs(), loans);
-        tell(loans, out);
+        sendLoanMessages(loans, out);
     }
 
-    private void tell(List<LoanAction> loans, List<Action> out) {
+    private void sendLoanMessages(List<LoanAction> loans, List<Action> out) {
         for (LoanAction loan : loans) {
-            mCounters.add(Counters.Name.LOAN_MESSAGES);
-            out.add(new Action.TellLoan(loan.address(), loan.message()));
+            mCounters.increment(Counters.Name.LOAN_MESSAGES);
+            out.add(new Action.SendLoanMessage(loan.address(), loan.message()));
         }
     }
 
@@ -179,18 +180,18 @@
     void onLoanMessage(String from, LoanMessage message, ClockReading clock, List<Action> out) {
         List<LoanAction> loans = new ArrayList<>();
         mPlacer.onMessage(from, message, clock.monotonicMs(), loans);
-        tell(loans, out);
+        sendLoanMessages(loans, out);
     }
 
     /** A big task that finds no room doesn't hold up the smaller ones behind it. */
-    private boolean startOne(Job head, ClockReading clock, List<Action> out) {
+    private boolean startFirstFitting(Job head, ClockReading clock, List<Action> out) {
         if (!withinQuota(head)) {
             return false;
         }
         if (start(head, clock, out)) {
             return true;
         }
-        for (Job next : mQueue.behind(head, LOOK_BEHIND)) {
+        for (Job next : mQueue.backfillCandidates(head, BACKFILL_LIMIT)) {
             if (start(next, clock, out)) {
                 return true;
             }
@@ -214,15 +215,16 @@
         Submission submission = job.submission();
         Resources need = mStatistics.estimatedNeed(submission.kind(), task);
         Optional<Placer.Allocation> place =
-                mPlacer.place(serviceOf(submission), need, job.avoided(task), clock.monotonicMs());
+                mPlacer.place(
+                        serviceOf(submission), need, job.avoidedTargets(task), clock.monotonicMs());
         if (place.isEmpty()) {
             return false;
         }
-        launch(job, task, place.get(), clock, out);
+        startAttempt(job, task, place.get(), clock, out);
         return true;
     }
 
-    private void launch(
+    private void startAttempt(
             Job job, TaskSpec task, Placer.Allocation place, ClockReading clock, List<Action> out) {
         long id = mNextAttempt++;
         Submission submission = job.submission();
@@ -231,11 +233,11 @@
         job.started(task, id);
         mAttempts.put(id, new Attempt(job, task, place));
         mRunningByTeam.merge(submission.team(), 1, Integer::sum);
-        mQueue.served(job, workMs, mBundle.get().teamQuota(submission.team()).weight());
-        if (job.avoided(task).isEmpty()) {
-            mRetries.onFirstAttempt();
+        mQueue.charge(job, workMs, mBundle.get().teamQuota(submission.team()).weight());
+        if (job.avoidedTargets(task).isEmpty()) {
+            mRetryBudget.onFirstAttempt();
         }
-        mCounters.add(Counters.Name.STARTS);
+        mCounters.increment(Counters.Name.STARTS);
         long startByMs = clock.monotonicMs() + mSettings.startGraceMs();
         long timeoutMs = timeoutMs(submission, workMs, clock);
         out.add(
@@ -252,7 +254,7 @@
         if (submission.service().isEmpty() || !submission.idempotent()) {
             return leftMs;
         }
-        long patienceMs = Math.max(LEAST_PATIENCE_MS, (long) (PATIENCE_FACTOR * workMs));
+        long patienceMs = Math.max(MIN_RESULT_TIMEOUT_MS, (long) (RESULT_TIMEOUT_FACTOR * workMs));
         return Math.min(leftMs, patienceMs);
     }
 
@@ -260,7 +262,7 @@
     void onAttemptEnded(long id, Outcome outcome, ClockReading clock, List<Action> out) {
         Attempt attempt = mAttempts.remove(id);
         if (attempt == null) {
-            mCounters.add(Counters.Name.LATE_RESULTS);
+            mCounters.increment(Counters.Name.LATE_RESULTS);
             return;
         }
         Job job = attempt.job();
@@ -289,24 +291,24 @@
     private void onSucceeded(
             Job job, TaskSpec task, Outcome.Succeeded done, ClockReading clock, List<Action> out) {
         mStatistics.add(job.submission().kind(), done.tookMs(), done.used());
-        job.result(task, done.result());
-        if (job.allResults()) {
-            finish(job, job.complete(), clock, out);
+        job.addResult(task, done.result());
+        if (job.hasAllResults()) {
+            finish(job, job.completeAnswer(), clock, out);
         }
     }
 
     /** Nothing was run, so the task may go elsewhere whatever it is. */
     private void onRefused(
             Attempt attempt, Outcome.NotRun refused, ClockReading clock, List<Action> out) {
-        mCounters.add(Counters.Name.REFUSED_STARTS);
+        mCounters.increment(Counters.Name.REFUSED_STARTS);
         Job job = attempt.job();
         if (job.answer().isPresent()) {
             return;
         }
         job.avoid(attempt.task(), attempt.place().target().target().address());
-        if (job.avoided(attempt.task()).size() >= MOST_REFUSALS) {
-            String reason = "refused by " + MOST_REFUSALS + " targets, last: " + refused.reason();
-            finish(job, givenUp(job, reason, clock), clock, out);
+        if (job.avoidedTargets(attempt.task()).size() >= MAX_REFUSALS) {
+            String reason = "refused by " + MAX_REFUSALS + " targets, last: " + refused.reason();
+            finish(job, abandonedAnswer(job, reason, clock), clock, out);
             return;
         }
         requeue(job, attempt.task());
@@ -316,17 +318,17 @@
         job.requeue(task);
         double workMs = mStatistics.estimatedMs(job.submission().kind(), task);
         mBacklog.add(serviceOf(job.submission()), 1, workMs);
-        mQueue.requeued(job);
+        mQueue.requeue(job);
     }
 
     /** Only an idempotent request to a minion is sent again after it may have run. */
     private void onLost(Attempt attempt, Outcome.Lost lost, ClockReading clock, List<Action> out) {
-        mCounters.add(Counters.Name.LOST_STARTS);
+        mCounters.increment(Counters.Name.LOST_STARTS);
         Job job = attempt.job();
         Submission submission = job.submission();
         boolean repeatable = submission.service().isPresent() && submission.idempotent();
-        if (repeatable && job.answer().isEmpty() && mRetries.trySpend()) {
-            mCounters.add(Counters.Name.RETRIES);
+        if (repeatable && job.answer().isEmpty() && mRetryBudget.trySpend()) {
+            mCounters.increment(Counters.Name.RETRIES);
             job.avoid(attempt.task(), attempt.place().target().target().address());
             requeue(job, attempt.task());
             return;
@@ -334,7 +336,7 @@
         finish(job, failed(FailureKind.MAY_HAVE_RUN, attempt, lost.reason()), clock, out);
     }
 
-    private Answer givenUp(Job job, String reason, ClockReading clock) {
+    private Answer abandonedAnswer(Job job, String reason, ClockReading clock) {
         long spread = job.submission().id().claimKey().low();
         double waitMs = mAdmission.expectedWaitMs(serviceOf(job.submission()), clock);
         FailureKind kind = job.mayHaveRun() ? FailureKind.MAY_HAVE_RUN : FailureKind.NOT_RUN;
@@ -346,7 +348,7 @@
             return;
         }
         SubmissionId id = job.submission().id();
-        int left = job.queued();
+        int left = job.queuedTasks();
         double leftMs = job.workMs() * left / job.submission().tasks().size();
         mBacklog.remove(serviceOf(job.submission()), left, leftMs);
         job.answer(answer);
@@ -357,14 +359,14 @@
         for (CallerRef caller : job.takeCallers()) {
             out.add(new Action.Reply(caller, id, answer));
         }
-        mCounters.add(counterOf(answer));
+        mCounters.increment(counterOf(answer));
         if (answer instanceof Answer.Failed failed && failed.kind() == FailureKind.NOT_RUN) {
             // Nothing ran, so a resubmission is free to run, here or elsewhere.
             mJobs.remove(id.text());
-            mOnNothingRun.accept(id);
+            mOnNotRun.accept(id);
             return;
         }
-        mKept.add(id, clock.monotonicMs());
+        mKeptAnswers.add(id, clock.monotonicMs());
     }
 
     static Counters.Name counterOf(Answer answer) {
@@ -388,12 +390,12 @@
     void onTick(ClockReading clock, List<Action> out) {
         List<LoanAction> loans = new ArrayList<>();
         mPlacer.onTick(mSiblings.get(), clock.monotonicMs(), loans);
-        tell(loans, out);
+        sendLoanMessages(loans, out);
         while (!mDeadlines.isEmpty() && mDeadlines.peek().wallMs() <= clock.wallMs()) {
             Job job = mDeadlines.poll().job();
-            finish(job, givenUp(job, "the deadline has passed", clock), clock, out);
+            finish(job, abandonedAnswer(job, "the deadline has passed", clock), clock, out);
         }
-        for (SubmissionId id : mKept.expired(clock.monotonicMs())) {
+        for (SubmissionId id : mKeptAnswers.expired(clock.monotonicMs())) {
             mJobs.remove(id.text());
         }
     }
@@ -407,7 +409,7 @@
             }
         }
         for (Job job : left) {
-            finish(job, givenUp(job, reason, clock), clock, out);
+            finish(job, abandonedAnswer(job, reason, clock), clock, out);
         }
         return left.size();
     }
--- a/core/src/main/java/org/boragegap/core/dispatch/KeptAnswers.java
+++ b/core/src/main/java/org/boragegap/core/dispatch/KeptAnswers.java
@@ -8,24 +8,24 @@
 
 /** Which answered submissions are still kept, so that a resubmission gets the same answer. */
 final class KeptAnswers {
-    private record Kept(long untilMs, SubmissionId id) {}
+    private record Entry(long untilMs, SubmissionId id) {}
 
     private final long mKeepMs;
-    private final Deque<Kept> mKept = new ArrayDeque<>();
+    private final Deque<Entry> mEntries = new ArrayDeque<>();
 
     KeptAnswers(long keepMs) {
         mKeepMs = keepMs;
     }
 
     void add(SubmissionId id, long nowMs) {
-        mKept.add(new Kept(nowMs + mKeepMs, id));
+        mEntries.add(new Entry(nowMs + mKeepMs, id));
     }
 
     /** Submissions whose answer is no longer kept; each is told once. */
     List<SubmissionId> expired(long nowMs) {
         List<SubmissionId> ids = new ArrayList<>();
-        while (!mKept.isEmpty() && mKept.peek().untilMs() <= nowMs) {
-            ids.add(mKept.poll().id());
+        while (!mEntries.isEmpty() && mEntries.peek().untilMs() <= nowMs) {
+            ids.add(mEntries.poll().id());
         }
         return ids;
     }
--- a/core/src/main/java/org/boragegap/core/dispatch/Replies.java
+++ b/core/src/main/java/org/boragegap/core/dispatch/Replies.java
@@ -15,7 +15,7 @@
     }
 
     void reply(CallerRef caller, Submission submission, Answer answer, List<Action> out) {
-        mCounters.add(JobBoard.counterOf(answer));
+        mCounters.increment(JobScheduler.counterOf(answer));
         out.add(new Action.Reply(caller, submission.id(), answer));
     }
 
@@ -34,15 +34,15 @@
     }
 
     /** Nothing is known to have run, and nothing can be ruled out. */
-    static Answer unknown(Submission submission, String reason) {
-        return soon(FailureKind.MAY_HAVE_RUN, submission, reason);
+    static Answer mayHaveRun(Submission submission, String reason) {
+        return retryableFailure(FailureKind.MAY_HAVE_RUN, submission, reason);
     }
 
     static Answer notRun(Submission submission, String reason) {
-        return soon(FailureKind.NOT_RUN, submission, reason);
+        return retryableFailure(FailureKind.NOT_RUN, submission, reason);
     }
 
-    private static Answer soon(FailureKind kind, Submission submission, String reason) {
+    private static Answer retryableFailure(FailureKind kind, Submission submission, String reason) {
         long spread = submission.id().claimKey().low();
         return new Answer.Failed(kind, reason, RetryAfter.delayMs(0, spread));
     }
--- a/core/src/main/java/org/boragegap/core/dispatch/Intake.java
+++ b/core/src/main/java/org/boragegap/core/dispatch/SubmissionRouter.java
@@ -10,8 +10,8 @@
 import org.boragegap.core.ClockReading;
 import org.boragegap.core.claim.ClaimAction;
 import org.boragegap.core.claim.ClaimKey;
+import org.boragegap.core.claim.ClaimOutcome;
 import org.boragegap.core.claim.ClaimProtocol;
-import org.boragegap.core.claim.ClaimVerdict;
 import org.boragegap.core.job.Answer;
 import org.boragegap.core.job.FailureKind;
 import org.boragegap.core.job.Submission;
@@ -19,15 +19,15 @@
 import org.boragegap.core.placement.Ownership;
 
 /** Finds out which VM may start a submission, and hands it over if that is another one. */
-final class Intake {
-    private static final int MOST_HOPS = 2;
+final class SubmissionRouter {
+    private static final int MAX_HOPS = 2;
 
-    private static final class Waiting {
+    private static final class PendingSubmission {
         private final Submission mSubmission;
         private final int mHops;
         private final List<CallerRef> mCallers = new ArrayList<>();
 
-        private Waiting(Submission submission, int hops) {
+        private PendingSubmission(Submission submission, int hops) {
             mSubmission = submission;
             mHops = hops;
         }
@@ -38,20 +38,20 @@
     private final List<String> mDomains;
     private final ClaimProtocol mClaims;
     private final List<ClaimAction> mClaimActions;
-    private final JobBoard mJobs;
+    private final JobScheduler mJobs;
     private final EntryVms mEntryVms;
     private final Replies mReplies;
     private final Counters mCounters;
     private final Forwards mForwards = new Forwards();
-    private final Map<ClaimKey, Waiting> mWaiting = new HashMap<>();
+    private final Map<ClaimKey, PendingSubmission> mPending = new HashMap<>();
     private boolean mDraining;
 
-    Intake(
+    SubmissionRouter(
             String selfAddress,
             DispatchSettings settings,
             ClaimProtocol claims,
             List<ClaimAction> claimActions,
-            JobBoard jobs,
+            JobScheduler jobs,
             EntryVms entryVms,
             Counters counters) {
         mSelfAddress = selfAddress;
@@ -71,7 +71,7 @@
     }
 
     boolean idle() {
-        return mForwards.size() == 0 && mWaiting.isEmpty();
+        return mForwards.size() == 0 && mPending.isEmpty();
     }
 
     int forwards() {
@@ -80,19 +80,19 @@
 
     /** Takes a submission, from a caller or from another VM. */
     void onSubmitted(Event.Submitted event, ClockReading clock, List<Action> out) {
-        mCounters.add(Counters.Name.SUBMISSIONS);
+        mCounters.increment(Counters.Name.SUBMISSIONS);
         Submission submission = event.submission();
         Optional<Job> known = mJobs.find(submission.id());
         if (known.isPresent()) {
-            attach(known.get(), event, out);
+            attachCaller(known.get(), event, out);
             return;
         }
-        if (event.fresh()) {
-            onFresh(event, clock, out);
+        if (event.newId()) {
+            onNewId(event, clock, out);
             return;
         }
         if (submission.id().minter().isPresent()) {
-            onMinted(event, submission.id().minter().get(), out);
+            onMintedId(event, submission.id().minter().get(), out);
             return;
         }
         Optional<String> home = homeOf(submission.id());
@@ -102,29 +102,29 @@
         } else if (!home.get().equals(mDomain)) {
             forwardHome(event, home.get(), clock, out);
         } else if (mDraining) {
-            leaveToSibling(event, clock, out);
+            forwardToSibling(event, clock, out);
         } else {
-            claim(event, clock, out);
+            requestClaim(event, clock, out);
         }
     }
 
-    private void attach(Job job, Event.Submitted event, List<Action> out) {
+    private void attachCaller(Job job, Event.Submitted event, List<Action> out) {
         if (job.submission().fingerprint() != event.submission().fingerprint()) {
             mReplies.reply(event.caller(), event.submission(), Replies.conflict(), out);
             return;
         }
-        mJobs.attach(job, event.caller(), out);
+        mJobs.attachCaller(job, event.caller(), out);
     }
 
     /** Nobody else can know an id that was minted just now, so it needs no claim. */
-    private void onFresh(Event.Submitted event, ClockReading clock, List<Action> out) {
+    private void onNewId(Event.Submitted event, ClockReading clock, List<Action> out) {
         Submission submission = event.submission();
         if (mDraining) {
             Answer answer = Replies.notRun(submission, "this VM is draining");
             mReplies.reply(event.caller(), submission, answer, out);
             return;
         }
-        Optional<Answer.Failed> objection = mJobs.objection(submission, clock);
+        Optional<Answer.Failed> objection = mJobs.rejection(submission, clock);
         if (objection.isPresent()) {
             mReplies.reply(event.caller(), submission, objection.get(), out);
             return;
@@ -132,9 +132,9 @@
         mJobs.add(submission, List.of(event.caller()), out);
     }
 
-    private void onMinted(Event.Submitted event, String minter, List<Action> out) {
+    private void onMintedId(Event.Submitted event, String minter, List<Action> out) {
         Submission submission = event.submission();
-        if (minter.equals(mSelfAddress) || event.hops() >= MOST_HOPS) {
+        if (minter.equals(mSelfAddress) || event.hops() >= MAX_HOPS) {
             String reason = "the VM that holds this id no longer knows it";
             Answer answer = Replies.failed(FailureKind.MAY_HAVE_RUN, reason);
             mReplies.reply(event.caller(), submission, answer, out);
@@ -166,53 +166,53 @@
             return;
         }
         Optional<String> peer = mEntryVms.pick(home, Set.of(), clock.monotonicMs());
-        if (peer.isEmpty() || event.hops() >= MOST_HOPS) {
+        if (peer.isEmpty() || event.hops() >= MAX_HOPS) {
             String reason = "its home failure domain " + home + " can't be reached";
-            Answer answer = Replies.unknown(event.submission(), reason);
+            Answer answer = Replies.mayHaveRun(event.submission(), reason);
             mReplies.reply(event.caller(), event.submission(), answer, out);
             return;
         }
         forward(event.submission(), peer.get(), event.hops(), List.of(event.caller()), out);
     }
 
-    private void leaveToSibling(Event.Submitted event, ClockReading clock, List<Action> out) {
+    private void forwardToSibling(Event.Submitted event, ClockReading clock, List<Action> out) {
         Set<String> self = Set.of(mSelfAddress);
         Optional<String> sibling = mEntryVms.pick(mDomain, self, clock.monotonicMs());
-        if (sibling.isEmpty() || event.hops() >= MOST_HOPS) {
-            Answer answer = Replies.unknown(event.submission(), "this VM is draining");
+        if (sibling.isEmpty() || event.hops() >= MAX_HOPS) {
+            Answer answer = Replies.mayHaveRun(event.submission(), "this VM is draining");
             mReplies.reply(event.caller(), event.submission(), answer, out);
             return;
         }
         forward(event.submission(), sibling.get(), event.hops(), List.of(event.caller()), out);
     }
 
-    private void claim(Event.Submitted event, ClockReading clock, List<Action> out) {
+    private void requestClaim(Event.Submitted event, ClockReading clock, List<Action> out) {
         Submission submission = event.submission();
         ClaimKey key = submission.id().claimKey();
-        Waiting waiting = mWaiting.get(key);
+        PendingSubmission waiting = mPending.get(key);
         if (waiting == null) {
-            waiting = new Waiting(submission, event.hops());
-            mWaiting.put(key, waiting);
+            waiting = new PendingSubmission(submission, event.hops());
+            mPending.put(key, waiting);
         } else if (waiting.mSubmission.fingerprint() != submission.fingerprint()) {
             mReplies.reply(event.caller(), submission, Replies.conflict(), out);
             return;
         }
         waiting.mCallers.add(event.caller());
-        mClaims.want(
+        mClaims.requestClaim(
                 key, submission.id().createdMs(), submission.fingerprint(), clock, mClaimActions);
     }
 
-    private void onVerdict(
-            Waiting waiting, ClaimVerdict verdict, ClockReading clock, List<Action> out) {
+    private void onClaimOutcome(
+            PendingSubmission waiting, ClaimOutcome verdict, ClockReading clock, List<Action> out) {
         Submission submission = waiting.mSubmission;
-        if (verdict instanceof ClaimVerdict.Granted) {
+        if (verdict instanceof ClaimOutcome.Granted) {
             onGranted(waiting, clock, out);
-        } else if (verdict instanceof ClaimVerdict.HeldBy held) {
+        } else if (verdict instanceof ClaimOutcome.HeldBy held) {
             onHeldElsewhere(waiting, held, out);
-        } else if (verdict instanceof ClaimVerdict.Conflict) {
+        } else if (verdict instanceof ClaimOutcome.Conflict) {
             mReplies.replyAll(waiting.mCallers, submission, Replies.conflict(), out);
-        } else if (verdict instanceof ClaimVerdict.Unknown unknown) {
-            Answer answer = Replies.unknown(submission, unknown.reason());
+        } else if (verdict instanceof ClaimOutcome.Unknown unknown) {
+            Answer answer = Replies.mayHaveRun(submission, unknown.reason());
             mReplies.replyAll(waiting.mCallers, submission, answer, out);
         }
     }
@@ -221,9 +221,9 @@
      * Refusals come after the claim: only who holds it can say that the id was not run, since a
      * sibling may have started an earlier submission of it.
      */
-    private void onGranted(Waiting waiting, ClockReading clock, List<Action> out) {
+    private void onGranted(PendingSubmission waiting, ClockReading clock, List<Action> out) {
         Submission submission = waiting.mSubmission;
-        Optional<Answer.Failed> objection = mJobs.objection(submission, clock);
+        Optional<Answer.Failed> objection = mJobs.rejection(submission, clock);
         if (objection.isPresent()) {
             mClaims.release(submission.id().claimKey(), mClaimActions);
             mReplies.replyAll(waiting.mCallers, submission, objection.get(), out);
@@ -232,10 +232,11 @@
         mJobs.add(submission, waiting.mCallers, out);
     }
 
-    private void onHeldElsewhere(Waiting waiting, ClaimVerdict.HeldBy held, List<Action> out) {
-        if (!held.reachable() || waiting.mHops >= MOST_HOPS) {
+    private void onHeldElsewhere(
+            PendingSubmission waiting, ClaimOutcome.HeldBy held, List<Action> out) {
+        if (!held.reachable() || waiting.mHops >= MAX_HOPS) {
             String reason = "the VM that held it is gone";
-            Answer answer = Replies.unknown(waiting.mSubmission, reason);
+            Answer answer = Replies.mayHaveRun(waiting.mSubmission, reason);
             mReplies.replyAll(waiting.mCallers, waiting.mSubmission, answer, out);
             return;
         }
@@ -249,7 +250,7 @@
             int hops,
             List<CallerRef> callers,
             List<Action> out) {
-        mCounters.add(Counters.Name.FORWARDS);
+        mCounters.increment(Counters.Name.FORWARDS);
         long id = mForwards.add(submission, address, hops + 1, callers);
         out.add(new Action.Forward(id, address, submission, hops + 1));
     }
@@ -257,7 +258,7 @@
     void onForwardAnswered(Event.ForwardAnswered event, List<Action> out) {
         Optional<Forwards.Forward> forward = mForwards.remove(event.forwardId());
         if (forward.isEmpty()) {
-            mCounters.add(Counters.Name.LATE_RESULTS);
+            mCounters.increment(Counters.Name.LATE_RESULTS);
             return;
         }
         mReplies.replyAll(forward.get().callers(), forward.get().submission(), event.answer(), out);
@@ -281,12 +282,13 @@
                                                 domain,
                                                 Set.of(forward.address(), mSelfAddress),
                                                 clock.monotonicMs()));
-        if (next.isPresent() && forward.tryNumber() < MOST_HOPS) {
-            forward(submission, next.get(), forward.tryNumber(), forward.callers(), out);
+        if (next.isPresent() && forward.hops() < MAX_HOPS) {
+            forward(submission, next.get(), forward.hops(), forward.callers(), out);
             return;
         }
         String reason = "the VM that it was handed to did not answer";
-        mReplies.replyAll(forward.callers(), submission, Replies.unknown(submission, reason), out);
+        mReplies.replyAll(
+                forward.callers(), submission, Replies.mayHaveRun(submission, reason), out);
     }
 
     /** Other VMs that may hold a submission which is not known here. */
@@ -301,10 +303,10 @@
     }
 
     /** Takes the verdict on a claim that was wanted here. */
-    void onDecided(ClaimAction.Decide decide, ClockReading clock, List<Action> out) {
-        Waiting waiting = mWaiting.remove(decide.key());
+    void onClaimResolved(ClaimAction.Resolve decide, ClockReading clock, List<Action> out) {
+        PendingSubmission waiting = mPending.remove(decide.key());
         if (waiting != null) {
-            onVerdict(waiting, decide.verdict(), clock, out);
+            onClaimOutcome(waiting, decide.outcome(), clock, out);
         }
     }
 
--- a/core/src/main/java/org/boragegap/core/dispatch/TargetBelief.java
+++ b/core/src/main/java/org/boragegap/core/dispatch/TargetSummary.java
@@ -12,11 +12,11 @@
  * @param leaving whether it is going away
  * @param quarantined whether it gets only probes because of its failures
  */
-public record TargetBelief(
+public record TargetSummary(
         Target target, boolean owned, int running, boolean leaving, boolean quarantined) {
 
-    static TargetBelief of(TargetState state, boolean owned) {
-        return new TargetBelief(
+    static TargetSummary of(TargetState state, boolean owned) {
+        return new TargetSummary(
                 state.target(), owned, state.running(), state.leaving(), state.quarantined());
     }
 }
--- a/core/src/main/java/org/boragegap/core/dispatch/WorkQueue.java
+++ b/core/src/main/java/org/boragegap/core/dispatch/WorkQueue.java
@@ -19,19 +19,19 @@
  * starts at the others' level, so idle time can't be saved up.
  */
 final class WorkQueue {
-    private static final class Lane {
+    private static final class TeamQueue {
         private final PriorityQueue<Job> mJobs;
-        private double mServedMs;
+        private double mVirtualTimeMs;
 
-        private Lane(Comparator<Job> order) {
+        private TeamQueue(Comparator<Job> order) {
             mJobs = new PriorityQueue<>(order);
         }
     }
 
     private final QueueOrder mOrder;
     private final Predicate<Job> mUrgent;
-    private final Map<String, Lane> mLanes = new LinkedHashMap<>();
-    private double mLevelMs;
+    private final Map<String, TeamQueue> mTeamQueues = new LinkedHashMap<>();
+    private double mVirtualTimeMs;
 
     WorkQueue(QueueOrder order, Predicate<Job> urgent) {
         mOrder = order;
@@ -39,14 +39,15 @@
     }
 
     void add(Job job) {
-        Lane lane = mLanes.computeIfAbsent(laneOf(job), team -> new Lane(jobOrder()));
+        TeamQueue lane =
+                mTeamQueues.computeIfAbsent(teamKey(job), team -> new TeamQueue(jobOrder()));
         if (lane.mJobs.isEmpty()) {
-            lane.mServedMs = Math.max(lane.mServedMs, mLevelMs);
+            lane.mVirtualTimeMs = Math.max(lane.mVirtualTimeMs, mVirtualTimeMs);
         }
         lane.mJobs.add(job);
     }
 
-    private String laneOf(Job job) {
+    private String teamKey(Job job) {
         return mOrder.fair() ? job.submission().team() : "";
     }
 
@@ -60,27 +61,27 @@
     }
 
     /** The lanes' first jobs, in the order in which they are to be served. */
-    List<Job> heads() {
-        List<Lane> lanes = new ArrayList<>();
-        for (Lane lane : mLanes.values()) {
-            if (head(lane).isPresent()) {
+    List<Job> firstJobs() {
+        List<TeamQueue> lanes = new ArrayList<>();
+        for (TeamQueue lane : mTeamQueues.values()) {
+            if (firstJob(lane).isPresent()) {
                 lanes.add(lane);
             }
         }
-        Comparator<Lane> urgentFirst =
+        Comparator<TeamQueue> urgentFirst =
                 Comparator.comparing(lane -> !mUrgent.test(lane.mJobs.peek()));
-        lanes.sort(urgentFirst.thenComparingDouble(WorkQueue::finishMs));
+        lanes.sort(urgentFirst.thenComparingDouble(WorkQueue::virtualFinishMs));
         return lanes.stream().map(lane -> lane.mJobs.peek()).toList();
     }
 
-    private static double finishMs(Lane lane) {
-        return lane.mServedMs + lane.mJobs.peek().leftMs();
+    private static double virtualFinishMs(TeamQueue lane) {
+        return lane.mVirtualTimeMs + lane.mJobs.peek().remainingMs();
     }
 
     /** Up to {@code most} jobs behind a lane's first one, for when the first one finds no room. */
-    List<Job> behind(Job head, int most) {
+    List<Job> backfillCandidates(Job head, int most) {
         List<Job> jobs = new ArrayList<>();
-        for (Job job : mLanes.get(laneOf(head)).mJobs) {
+        for (Job job : mTeamQueues.get(teamKey(head)).mJobs) {
             if (jobs.size() == most) {
                 break;
             }
@@ -91,7 +92,7 @@
         return jobs;
     }
 
-    private Optional<Job> head(Lane lane) {
+    private Optional<Job> firstJob(TeamQueue lane) {
         while (!lane.mJobs.isEmpty() && lane.mJobs.peek().nextTask().isEmpty()) {
             lane.mJobs.poll();
         }
@@ -99,15 +100,15 @@
     }
 
     /** Accounts for a started task. */
-    void served(Job job, double workMs, double weight) {
-        Lane lane = mLanes.get(laneOf(job));
-        lane.mServedMs += workMs / weight;
-        mLevelMs = Math.max(mLevelMs, lane.mServedMs - workMs / weight);
+    void charge(Job job, double workMs, double weight) {
+        TeamQueue lane = mTeamQueues.get(teamKey(job));
+        lane.mVirtualTimeMs += workMs / weight;
+        mVirtualTimeMs = Math.max(mVirtualTimeMs, lane.mVirtualTimeMs - workMs / weight);
     }
 
     /** A task of the job is waiting again. */
-    void requeued(Job job) {
-        Lane lane = mLanes.get(laneOf(job));
+    void requeue(Job job) {
+        TeamQueue lane = mTeamQueues.get(teamKey(job));
         if (lane == null || !lane.mJobs.contains(job)) {
             add(job);
         }
--- a/core/src/test/java/org/boragegap/core/claim/AbsentFromTheListTest.java
+++ b/core/src/test/java/org/boragegap/core/claim/AbsentFromTheListTest.java
@@ -12,7 +12,7 @@
 final class AbsentFromTheListTest {
     private static final ClaimLimits LIMITS = ClaimLimits.defaults();
     private static final long WALL_MS = 1_000_000;
-    private static final long MISSING_MS = 60_000;
+    private static final long UNLISTED_MS = 60_000;
     private static final long TICK_MS = 100;
     private static final Member A = new Member("a:1", 1);
     private static final Member C = new Member("c:1", 1);
@@ -37,9 +37,9 @@
     private static boolean granted(ClaimProtocol protocol, long ms) {
         List<ClaimAction> out = new ArrayList<>();
         long createdMs = WALL_MS + ms;
-        protocol.want(ClaimKey.of("job", createdMs), createdMs, 5, at(ms), out);
+        protocol.requestClaim(ClaimKey.of("job", createdMs), createdMs, 5, at(ms), out);
         return out.contains(
-                new ClaimAction.Decide(ClaimKey.of("job", createdMs), new ClaimVerdict.Granted()));
+                new ClaimAction.Resolve(ClaimKey.of("job", createdMs), new ClaimOutcome.Granted()));
     }
 
     private static List<ViewRecord> proposals(List<ClaimAction> actions) {
@@ -55,15 +55,15 @@
     void oneSubmissionIsNotGrantedTwice() {
         read(mA, LOGGED, 0);
         read(mC, LOGGED, 0);
-        mC.onVmsGone(Set.of(A.address()));
+        mC.onVmsUnlisted(Set.of(A.address()));
         List<ClaimAction> out = new ArrayList<>();
-        for (long ms = 0; ms <= MISSING_MS; ms += TICK_MS) {
+        for (long ms = 0; ms <= UNLISTED_MS; ms += TICK_MS) {
             mC.onTick(at(ms), out);
         }
         for (ViewRecord record : proposals(out)) {
-            read(mC, new LoggedView(1, record, WALL_MS + MISSING_MS + 5, 0), MISSING_MS + 10);
+            read(mC, new LoggedView(1, record, WALL_MS + UNLISTED_MS + 5, 0), UNLISTED_MS + 10);
         }
-        long ms = MISSING_MS + 10_000;
+        long ms = UNLISTED_MS + 10_000;
         assertThat(granted(mA, ms) && granted(mC, ms)).isFalse();
     }
 }
--- a/core/src/test/java/org/boragegap/core/claim/ClaimProtocolTest.java
+++ b/core/src/test/java/org/boragegap/core/claim/ClaimProtocolTest.java
@@ -46,14 +46,14 @@
         }
     }
 
-    private static List<ClaimAction> wants(ClaimProtocol protocol, long ms) {
+    private static List<ClaimAction> requestClaim(ClaimProtocol protocol, long ms) {
         List<ClaimAction> out = new ArrayList<>();
-        protocol.want(KEY, WALL_MS, 5, at(ms), out);
+        protocol.requestClaim(KEY, WALL_MS, 5, at(ms), out);
         return out;
     }
 
     /** Hands over what one member sent to the other; returns what the other does then. */
-    private static List<ClaimAction> carry(
+    private static List<ClaimAction> deliver(
             Member from, ClaimProtocol to, List<ClaimAction> actions, long ms) {
         List<ClaimAction> out = new ArrayList<>();
         for (ClaimAction action : actions) {
@@ -64,11 +64,11 @@
         return out;
     }
 
-    private static List<ClaimVerdict> verdicts(List<ClaimAction> actions) {
-        List<ClaimVerdict> verdicts = new ArrayList<>();
+    private static List<ClaimOutcome> outcomes(List<ClaimAction> actions) {
+        List<ClaimOutcome> verdicts = new ArrayList<>();
         for (ClaimAction action : actions) {
-            if (action instanceof ClaimAction.Decide decide) {
-                verdicts.add(decide.verdict());
+            if (action instanceof ClaimAction.Resolve decide) {
+                verdicts.add(decide.outcome());
             }
         }
         return verdicts;
@@ -78,93 +78,94 @@
     final class Grants {
         @Test
         void aClaimIsGrantedWhenTheSiblingHasAcknowledgedIt() {
-            List<ClaimAction> asked = wants(mA, 10);
-            assertThat(verdicts(asked)).isEmpty();
-            List<ClaimAction> acknowledged = carry(A, mB, asked, 11);
-            assertThat(verdicts(carry(B, mA, acknowledged, 12)))
-                    .containsExactly(new ClaimVerdict.Granted());
+            List<ClaimAction> asked = requestClaim(mA, 10);
+            assertThat(outcomes(asked)).isEmpty();
+            List<ClaimAction> acknowledged = deliver(A, mB, asked, 11);
+            assertThat(outcomes(deliver(B, mA, acknowledged, 12)))
+                    .containsExactly(new ClaimOutcome.Granted());
         }
 
         @Test
-        void aCopyAtTheSiblingIsSentToTheHolder() {
-            carry(B, mA, carry(A, mB, wants(mA, 10), 11), 12);
-            assertThat(verdicts(wants(mB, 20))).containsExactly(new ClaimVerdict.HeldBy(A, true));
+        void aResubmissionAtTheSiblingIsSentToTheHolder() {
+            deliver(B, mA, deliver(A, mB, requestClaim(mA, 10), 11), 12);
+            assertThat(outcomes(requestClaim(mB, 20)))
+                    .containsExactly(new ClaimOutcome.HeldBy(A, true));
         }
 
         @Test
-        void ofTwoCopiesAtTheSameMomentOneIsGranted() {
-            List<ClaimAction> fromA = wants(mA, 10);
-            List<ClaimAction> fromB = wants(mB, 10);
-            List<ClaimAction> repliesOfB = carry(A, mB, fromA, 11);
-            List<ClaimAction> repliesOfA = carry(B, mA, fromB, 11);
-            List<ClaimVerdict> all = new ArrayList<>(verdicts(repliesOfA));
-            all.addAll(verdicts(repliesOfB));
-            all.addAll(verdicts(carry(B, mA, repliesOfB, 12)));
-            all.addAll(verdicts(carry(A, mB, repliesOfA, 12)));
-            assertThat(all.stream().filter(v -> v instanceof ClaimVerdict.Granted).count())
+        void ofTwoConcurrentSubmissionsOneIsGranted() {
+            List<ClaimAction> fromA = requestClaim(mA, 10);
+            List<ClaimAction> fromB = requestClaim(mB, 10);
+            List<ClaimAction> repliesOfB = deliver(A, mB, fromA, 11);
+            List<ClaimAction> repliesOfA = deliver(B, mA, fromB, 11);
+            List<ClaimOutcome> all = new ArrayList<>(outcomes(repliesOfA));
+            all.addAll(outcomes(repliesOfB));
+            all.addAll(outcomes(deliver(B, mA, repliesOfB, 12)));
+            all.addAll(outcomes(deliver(A, mB, repliesOfA, 12)));
+            assertThat(all.stream().filter(v -> v instanceof ClaimOutcome.Granted).count())
                     .isEqualTo(1);
         }
 
         @Test
         void anotherBodyUnderTheSameIdIsAConflict() {
-            carry(B, mA, carry(A, mB, wants(mA, 10), 11), 12);
+            deliver(B, mA, deliver(A, mB, requestClaim(mA, 10), 11), 12);
             List<ClaimAction> out = new ArrayList<>();
-            mB.want(KEY, WALL_MS, 6, at(20), out);
-            assertThat(verdicts(out)).containsExactly(new ClaimVerdict.Conflict());
+            mB.requestClaim(KEY, WALL_MS, 6, at(20), out);
+            assertThat(outcomes(out)).containsExactly(new ClaimOutcome.Conflict());
         }
     }
 
     @Nested
-    final class Doubt {
+    final class UnknownOutcomes {
         /**
          * A sibling falls silent while a claim waits for it. The caller must not be told that the
          * job was not run: a view unknown here may have started an earlier copy of it.
          */
         @Test
-        void aClaimWithoutAnAcknowledgementEndsInDoubt() {
-            wants(mA, 10);
+        void aClaimWithoutAnAcknowledgementEndsAsUnknown() {
+            requestClaim(mA, 10);
             List<ClaimAction> out = new ArrayList<>();
             mA.onTick(at(10 + LIMITS.claimTimeoutMs()), out);
-            assertThat(verdicts(out).get(0)).isInstanceOf(ClaimVerdict.Unknown.class);
+            assertThat(outcomes(out).get(0)).isInstanceOf(ClaimOutcome.Unknown.class);
         }
 
         @Test
-        void anIdFromTheFutureIsNotTaken() {
+        void anIdFromTheFutureIsNotClaimed() {
             List<ClaimAction> out = new ArrayList<>();
-            mA.want(KEY, WALL_MS + 60_000, 5, at(0), out);
-            assertThat(verdicts(out).get(0)).isInstanceOf(ClaimVerdict.Unknown.class);
+            mA.requestClaim(KEY, WALL_MS + 60_000, 5, at(0), out);
+            assertThat(outcomes(out).get(0)).isInstanceOf(ClaimOutcome.Unknown.class);
         }
 
         @Test
-        void anIdOlderThanTheWindowIsNotTaken() {
+        void anIdOlderThanTheWindowIsNotClaimed() {
             List<ClaimAction> out = new ArrayList<>();
-            mA.want(KEY, WALL_MS, 5, at(LIMITS.windowMs() + 1), out);
-            assertThat(verdicts(out).get(0)).isInstanceOf(ClaimVerdict.Unknown.class);
+            mA.requestClaim(KEY, WALL_MS, 5, at(LIMITS.idWindowMs() + 1), out);
+            assertThat(outcomes(out).get(0)).isInstanceOf(ClaimOutcome.Unknown.class);
         }
     }
 
     @Nested
-    final class Lapse {
+    final class ViewExpiry {
         /**
          * Both members are cut off from the log for longer than it keeps records. A new VM finds no
          * view there and starts one of its own. A copy of a job reaches the old members: if they
          * went on, it would be started in both views.
          */
         @Test
-        void membersOfAViewThatIsNoLongerOnTheLogStop() {
-            long late = LIMITS.lapseMs() + 1;
+        void membersOfAnExpiredViewStopClaiming() {
+            long late = LIMITS.viewExpiryMs() + 1;
             List<ClaimAction> out = new ArrayList<>();
-            mA.want(KEY, WALL_MS + late, 5, at(late), out);
+            mA.requestClaim(KEY, WALL_MS + late, 5, at(late), out);
             assertThat(out).isEmpty();
             assertThat(mA.ready(at(late))).isFalse();
         }
 
         @Test
-        void aMemberThatWakesAfterTheLapseIsGrantedNothing() {
-            List<ClaimAction> asked = wants(mA, 10);
-            List<ClaimAction> acknowledged = carry(A, mB, asked, 11);
-            long late = LIMITS.lapseMs() + 1;
-            assertThat(verdicts(carry(B, mA, acknowledged, late))).isEmpty();
+        void aMemberThatResumesAfterTheExpiryIsGrantedNothing() {
+            List<ClaimAction> asked = requestClaim(mA, 10);
+            List<ClaimAction> acknowledged = deliver(A, mB, asked, 11);
+            long late = LIMITS.viewExpiryMs() + 1;
+            assertThat(outcomes(deliver(B, mA, acknowledged, late))).isEmpty();
         }
     }
 }
--- a/core/src/test/java/org/boragegap/core/claim/UnlistedMemberTest.java
+++ b/core/src/test/java/org/boragegap/core/claim/UnlistedMemberTest.java
@@ -13,7 +13,7 @@
 final class UnlistedMemberTest {
     private static final ClaimLimits LIMITS = ClaimLimits.defaults();
     private static final long WALL_MS = 1_000_000;
-    private static final long MISSING_MS = 60_000;
+    private static final long UNLISTED_MS = 60_000;
     private static final long TICK_MS = 100;
     private static final Member A = new Member("a:1", 1);
     private static final Member C = new Member("c:1", 1);
@@ -29,15 +29,15 @@
         return new ClockReading(ms, WALL_MS + ms);
     }
 
-    private void hears(long ms) {
+    private void receiveHeartbeat(long ms) {
         ClaimMessage heartbeat =
                 new ClaimMessage.ViewIs(ALONE, true, 10, 0, ClaimMessage.ViewIs.NO_ECHO);
         mC.onMessage(A, heartbeat, at(ms), mActions);
     }
 
-    private void ticks(long fromMs, long untilMs, Set<String> unlisted) {
+    private void tickUntil(long fromMs, long untilMs, Set<String> unlisted) {
         for (long ms = fromMs; ms <= untilMs; ms += TICK_MS) {
-            mC.onVmsGone(unlisted);
+            mC.onVmsUnlisted(unlisted);
             mC.onTick(at(ms), mActions);
         }
     }
@@ -51,46 +51,46 @@
     }
 
     @BeforeEach
-    void readsTheView() {
+    void readView() {
         LogBatch batch = new LogBatch(List.of(LOGGED), 0, 1, WALL_MS, true);
         mC.onLog(batch, at(0), new ArrayList<>());
     }
 
     /** Guards against a VM that answers being taken for dead since a list lacks it. */
     @Test
-    void oneThatIsHeardOfIsNotTakenForDead() {
-        mC.onVmsGone(Set.of(A.address()));
-        hears(MISSING_MS);
-        mC.onTick(at(MISSING_MS + 10), mActions);
+    void anUnlistedMemberThatSendsAHeartbeatIsNotPresumedDead() {
+        mC.onVmsUnlisted(Set.of(A.address()));
+        receiveHeartbeat(UNLISTED_MS);
+        mC.onTick(at(UNLISTED_MS + 10), mActions);
         assertThat(proposals()).isEmpty();
     }
 
     /** Guards against the same where the list goes on lacking it. */
     @Test
-    void oneThatIsHeardOfAgainAndAgainIsNotTakenForDead() {
-        for (long ms = 0; ms <= MISSING_MS; ms += LIMITS.suspectMs() / 2) {
-            hears(ms);
-            ticks(ms, ms + LIMITS.suspectMs() / 2 - TICK_MS, Set.of(A.address()));
+    void anUnlistedMemberThatKeepsSendingHeartbeatsIsNotPresumedDead() {
+        for (long ms = 0; ms <= UNLISTED_MS; ms += LIMITS.suspectMs() / 2) {
+            receiveHeartbeat(ms);
+            tickUntil(ms, ms + LIMITS.suspectMs() / 2 - TICK_MS, Set.of(A.address()));
         }
         assertThat(proposals()).isEmpty();
     }
 
     /** Guards against one that the list shows again being taken for dead when it is silent. */
     @Test
-    void oneThatIsListedAgainIsNotTakenForDead() {
-        mC.onVmsGone(Set.of(A.address()));
-        ticks(MISSING_MS, 2 * MISSING_MS, Set.of());
+    void aMemberThatIsListedAgainIsNotPresumedDead() {
+        mC.onVmsUnlisted(Set.of(A.address()));
+        tickUntil(UNLISTED_MS, 2 * UNLISTED_MS, Set.of());
         assertThat(proposals()).isEmpty();
     }
 
     @Test
-    void oneThatIsSilentIsTakenForDead() {
-        ticks(MISSING_MS, MISSING_MS + 2 * LIMITS.suspectMs(), Set.of(A.address()));
+    void anUnlistedMemberThatIsSilentIsPresumedDead() {
+        tickUntil(UNLISTED_MS, UNLISTED_MS + 2 * LIMITS.suspectMs(), Set.of(A.address()));
         assertThat(proposals()).isNotEmpty();
     }
 
     @Test
-    void oneThatIsReplacedIsDeadAtOnce() {
+    void aReplacedMemberIsPresumedDeadAtOnce() {
         Member replacement = new Member(A.address(), A.incarnation() + 1);
         mC.onMessage(replacement, new ClaimMessage.Join(), at(10), mActions);
         mC.onTick(at(20), mActions);
--- a/core/src/test/java/org/boragegap/core/claim/ViewLogTest.java
+++ b/core/src/test/java/org/boragegap/core/claim/ViewLogTest.java
@@ -45,7 +45,7 @@
             assertThat(log.apply(proposed(0, root, 11))).isTrue();
             assertThat(log.apply(proposed(1, next(root, 2, A, B), 12))).isTrue();
             assertThat(log.apply(proposed(2, next(root, 3, A), 13))).isFalse();
-            assertThat(log.head().orElseThrow().uid()).isEqualTo(2);
+            assertThat(log.currentView().orElseThrow().uid()).isEqualTo(2);
         }
     }
 
@@ -57,25 +57,25 @@
          * the present one, and its members could start what the new ones had started.
          */
         @Test
-        void aStatementIsNoBaseForAReaderThatLacksRecordsAfterIt() {
+        void aReaderThatLacksLaterRecordsIgnoresAStatement() {
             DomainView root = root(10, 1, A);
             ViewLog late = readerFrom(7, 900);
             assertThat(late.apply(stated(8, root, 3, 800))).isFalse();
-            assertThat(late.head().isPresent()).isFalse();
+            assertThat(late.currentView().isPresent()).isFalse();
         }
 
         @Test
-        void aReaderWithAllRecordsAfterItSeesTheNextViewToo() {
+        void aReaderWithAllLaterRecordsAlsoAppliesTheNextView() {
             DomainView root = root(10, 1, A);
             DomainView second = next(root, 2, A, B);
             ViewLog log = readerFrom(4, 900);
             log.apply(proposed(5, second, 700));
             assertThat(log.apply(stated(6, root, 4, 800))).isTrue();
-            assertThat(log.head().orElseThrow()).isEqualTo(second);
+            assertThat(log.currentView().orElseThrow()).isEqualTo(second);
         }
 
         @Test
-        void noReaderGoesBackToAnOlderView() {
+        void aReaderNeverReturnsToAnOlderView() {
             DomainView root = root(10, 1, A);
             DomainView second = next(root, 2, A, B);
             ViewLog log = readerFrom(0, 0);
@@ -95,19 +95,19 @@
          * Taking its own for the first, it would start what the winner had started.
          */
         @Test
-        void aFirstViewOlderThanTheReaderIsVoid() {
+        void aFirstViewOlderThanTheReaderIsIgnored() {
             ViewLog reader = readerFrom(5, 1_600);
             assertThat(reader.apply(proposed(5, root(1_490, 2, B), 1_500))).isFalse();
         }
 
         @Test
-        void aFirstViewWhoseAppendTookLongIsVoid() {
+        void aFirstViewAppendedLateIsIgnored() {
             ViewLog reader = readerFrom(0, 0);
             assertThat(reader.apply(proposed(0, root(10, 1, A), 300))).isFalse();
         }
 
         @Test
-        void aFirstViewMayFollowOneThatLapsed() {
+        void aFirstViewMayFollowAnExpiredOne() {
             ViewLog reader = readerFrom(0, 0);
             reader.apply(proposed(0, root(10, 1, A), 11));
             assertThat(reader.apply(proposed(1, root(900, 2, B), 901))).isFalse();
--- a/core/src/test/java/org/boragegap/core/dispatch/DispatcherTest.java
+++ b/core/src/test/java/org/boragegap/core/dispatch/DispatcherTest.java
@@ -33,27 +33,27 @@
 final class DispatcherTest {
     private static final String DOMAIN = "fd";
     private static final long WALL_MS = 1_800_000_000_000L;
-    private static final Resources ROOM = new Resources(4_000, 4_000, 1);
+    private static final Resources CAPACITY = new Resources(4_000, 4_000, 1);
     private static final Resources SMALL = new Resources(1_000, 100, 0);
 
     private final Dispatcher mDispatcher =
             Dispatcher.create(
                     new Member("vm:1", 1),
-                    DispatchSettings.usual(DOMAIN, List.of(DOMAIN)),
+                    DispatchSettings.defaults(DOMAIN, List.of(DOMAIN)),
                     ClaimLimits.defaults(),
                     new SplittableRandom(1));
     private long mNowMs = 1_000;
     private int mNextId;
 
     @BeforeEach
-    void list() {
-        list(false);
+    void listVms() {
+        listVms(false);
     }
 
-    private void list(boolean secondMinionLeaving) {
+    private void listVms(boolean secondMinionLeaving) {
         List<ListedVm> vms = new ArrayList<>();
-        vms.add(new ListedVm("w:1", DOMAIN, VmKind.WORKER, "", false, ROOM, 64));
-        vms.add(new ListedVm("w:2", DOMAIN, VmKind.WORKER, "", false, ROOM, 64));
+        vms.add(new ListedVm("w:1", DOMAIN, VmKind.WORKER, "", false, CAPACITY, 64));
+        vms.add(new ListedVm("w:2", DOMAIN, VmKind.WORKER, "", false, CAPACITY, 64));
         vms.add(new ListedVm("m:1", DOMAIN, VmKind.MINION, "billing", false, Resources.NONE, 8));
         vms.add(
                 new ListedVm(
@@ -64,18 +64,18 @@
                         secondMinionLeaving,
                         Resources.NONE,
                         8));
-        on(new Event.VmsListed(vms));
+        onEvent(new Event.VmsListed(vms));
     }
 
-    private List<Action> on(Event event) {
+    private List<Action> onEvent(Event event) {
         List<Action> actions = new ArrayList<>();
-        mDispatcher.on(event, new ClockReading(mNowMs, WALL_MS + mNowMs), actions);
+        mDispatcher.onEvent(event, new ClockReading(mNowMs, WALL_MS + mNowMs), actions);
         return actions;
     }
 
-    private List<Action> pass(long ms) {
+    private List<Action> advanceTime(long ms) {
         mNowMs += ms;
-        return on(new Event.Ticked());
+        return onEvent(new Event.Ticked());
     }
 
     private Submission submission(
@@ -91,7 +91,7 @@
     }
 
     private List<Action> submit(Submission submission) {
-        return on(new Event.Submitted(new CallerRef.HttpCaller(mNextId), submission, true, 0));
+        return onEvent(new Event.Submitted(new CallerRef.HttpCaller(mNextId), submission, true, 0));
     }
 
     private static List<Action.Start> starts(List<Action> actions) {
@@ -113,7 +113,7 @@
     }
 
     private List<Action> end(Action.Start start, Outcome outcome) {
-        return on(new Event.AttemptEnded(start.attempt(), outcome));
+        return onEvent(new Event.AttemptEnded(start.attempt(), outcome));
     }
 
     private static Outcome done(Action.Start start) {
@@ -127,7 +127,7 @@
          * result once, in order, and only when all are there.
          */
         @Test
-        void aJobIsAnsweredWholeOnceAllResultsAreThere() {
+        void aJobIsAnsweredOnceAllResultsHaveArrived() {
             List<Action.Start> starts =
                     starts(submit(submission(Optional.empty(), false, 3, SMALL)));
             assertThat(starts).hasSize(3);
@@ -141,24 +141,24 @@
 
         /** A worker dies with one task of a job: the job fails at once and the rest is stopped. */
         @Test
-        void aLostTaskFailsTheWholeJobWithDoubt() {
+        void aLostTaskFailsTheWholeJobAsMayHaveRun() {
             List<Action.Start> starts =
                     starts(submit(submission(Optional.empty(), true, 2, SMALL)));
             List<Action> after = end(starts.get(0), new Outcome.Lost("worker died"));
             assertThat(failure(after).kind()).isEqualTo(FailureKind.MAY_HAVE_RUN);
             assertThat(after.stream().anyMatch(action -> action instanceof Action.Stop)).isTrue();
-            assertThat(starts(pass(50))).isEmpty();
+            assertThat(starts(advanceTime(50))).isEmpty();
         }
 
         @Test
-        void whatWasNotStartedByTheDeadlineIsAnsweredAsNotRun() {
+        void aJobNotStartedByTheDeadlineIsAnsweredAsNotRun() {
             for (int i = 0; i < 8; i++) {
                 submit(submission(Optional.empty(), false, 1, SMALL));
             }
             List<Action> queued = submit(submission(Optional.empty(), false, 1, SMALL));
             assertThat(starts(queued)).isEmpty();
             List<Answer.Failed> failures =
-                    pass(10_001).stream()
+                    advanceTime(10_001).stream()
                             .filter(action -> action instanceof Action.Reply)
                             .map(action -> (Answer.Failed) ((Action.Reply) action).answer())
                             .toList();
@@ -179,11 +179,11 @@
         }
 
         @Test
-        void aTeamWithQuotaZeroIsToldSo() {
+        void aJobOfATeamWithQuotaZeroFailsAtOnce() {
             BundleContent content =
                     new BundleContent(Map.of("team", new TeamQuota(0, 1)), Map.of());
             Bundle bundle = new Bundle(1, "", "p", "", List.of());
-            on(new Event.BundlePassedOn(CheckedBundle.valid(bundle, content)));
+            onEvent(new Event.BundleReceived(CheckedBundle.valid(bundle, content)));
             Answer.Failed failure = failure(submit(submission(Optional.empty(), false, 1, SMALL)));
             assertThat(failure.kind()).isEqualTo(FailureKind.IMPOSSIBLE);
         }
@@ -215,7 +215,7 @@
         }
 
         @Test
-        void aRefusedRequestGoesElsewhereWhateverItIs() {
+        void aRefusedRequestIsSentToAnotherMinionEvenIfNotIdempotent() {
             Action.Start start = starts(submit(billing(false))).get(0);
             Outcome busy = new Outcome.NotRun(RefusalCause.BUSY, "full");
             Action.Start again = starts(end(start, busy)).get(0);
@@ -233,7 +233,7 @@
                         end(retry, done(retry));
                     }
                 }
-                pass(1_000);
+                advanceTime(1_000);
             }
             assertThat(retries).isAtLeast(10);
             assertThat(retries).isAtMost(20);
@@ -256,23 +256,23 @@
 
         @Test
         void aMinionListedAsLeavingGetsNothing() {
-            list(true);
+            listVms(true);
             assertThat(placed(40)).doesNotContainKey("m:2");
         }
 
         /** The list lags and still shows the minion; its own word goes first, and stays. */
         @Test
-        void aMinionThatSaysItLeavesGetsNothingMore() {
+        void aMinionThatReportsItIsLeavingGetsNothingMore() {
             Submission request = submission(Optional.of("billing"), false, 1, Resources.NONE);
             Action.Start start = starts(submit(request)).get(0);
             end(start, new Outcome.NotRun(RefusalCause.LEAVING, "leaving"));
-            list(false);
+            listVms(false);
             assertThat(placed(40)).doesNotContainKey(start.target().address());
         }
     }
 
     @Nested
-    final class BadWorkers {
+    final class FailingWorkers {
         /**
          * A worker fails everything at once, so it always looks idle. After a few failures it gets
          * nothing but one probe at a time, with growing pauses, and it comes back when it works.
@@ -287,7 +287,7 @@
                     atBadWorker += bad ? 1 : 0;
                     end(start, bad ? new Outcome.Failed("broken") : done(start));
                 }
-                pass(50);
+                advanceTime(50);
             }
             assertThat(atBadWorker).isAtMost(9);
             int afterMending = 0;
@@ -297,14 +297,14 @@
                     afterMending += start.target().address().equals("w:1") ? 1 : 0;
                     end(start, done(start));
                 }
-                pass(500);
+                advanceTime(500);
             }
             assertThat(afterMending).isAtLeast(20);
         }
     }
 
     @Nested
-    final class Learning {
+    final class LearnedNeeds {
         /** Tasks use three times what they declare; after a while the workers aren't overfilled. */
         @Test
         void needsAreLearnedFromWhatWasUsed() {
@@ -331,10 +331,10 @@
                 all.add(submission);
             }
             for (Submission submission : all) {
-                on(new Event.Cancelled(submission.id(), 0));
-                on(new Event.Cancelled(submission.id(), 0));
+                onEvent(new Event.Cancelled(submission.id(), 0));
+                onEvent(new Event.Cancelled(submission.id(), 0));
             }
-            assertThat(starts(pass(50))).isEmpty();
+            assertThat(starts(advanceTime(50))).isEmpty();
             assertThat(mDispatcher.state(new ClockReading(mNowMs, WALL_MS)).queuedTasks())
                     .isEqualTo(0);
         }
@@ -344,7 +344,7 @@
     final class Overload {
         /** More comes than fits before the deadlines: the rest is refused at once, spread out. */
         @Test
-        void whatCannotMakeItsDeadlineIsRefusedAtOnce() {
+        void aJobThatCannotMeetItsDeadlineIsRejectedAtOnce() {
             List<Long> comeBack = new ArrayList<>();
             for (int i = 0; i < 20_000 && comeBack.size() < 50; i++) {
                 List<Action> actions = submit(submission(Optional.empty(), false, 4, SMALL));
@@ -358,31 +358,33 @@
     @Nested
     final class Drains {
         @Test
-        void aDrainEndsWhenAllIsAnswered() {
+        void aDrainEndsWhenEveryJobIsAnswered() {
             Action.Start start =
                     starts(submit(submission(Optional.empty(), false, 1, SMALL))).get(0);
-            on(new Event.DrainAsked(5_000));
-            on(new Event.DrainAsked(5_000));
+            onEvent(new Event.DrainRequested(5_000));
+            onEvent(new Event.DrainRequested(5_000));
             assertThat(failure(submit(submission(Optional.empty(), false, 1, SMALL))).kind())
                     .isEqualTo(FailureKind.NOT_RUN);
-            assertThat(drained(pass(50))).isEmpty();
+            assertThat(drained(advanceTime(50))).isEmpty();
             end(start, done(start));
-            assertThat(drained(pass(50))).hasSize(1);
-            assertThat(drained(pass(50))).isEmpty();
+            assertThat(drained(advanceTime(50))).hasSize(1);
+            assertThat(drained(advanceTime(50))).isEmpty();
         }
 
         /** A straggler outlasts the bound: its caller gets an answer, and isn't cut off. */
         @Test
-        void atTheBoundWhatIsLeftIsAnsweredAsFailed() {
+        void unfinishedJobsFailWhenTheDrainTimesOut() {
             submit(submission(Optional.empty(), false, 1, SMALL));
-            on(new Event.DrainAsked(5_000));
-            List<Action> actions = pass(5_001);
+            onEvent(new Event.DrainRequested(5_000));
+            List<Action> actions = advanceTime(5_001);
             assertThat(failure(actions).kind()).isEqualTo(FailureKind.MAY_HAVE_RUN);
-            assertThat(drained(actions)).containsExactly(new Action.Drained(1, 1));
+            assertThat(drained(actions)).containsExactly(new Action.ReportDrained(1, 1));
         }
 
         private List<Action> drained(List<Action> actions) {
-            return actions.stream().filter(action -> action instanceof Action.Drained).toList();
+            return actions.stream()
+                    .filter(action -> action instanceof Action.ReportDrained)
+                    .toList();
         }
     }
 }
--- a/core/src/test/java/org/boragegap/core/dispatch/FakeLog.java
+++ b/core/src/test/java/org/boragegap/core/dispatch/FakeLog.java
@@ -20,12 +20,12 @@
         mItems.add(new Item(nowMs, record));
     }
 
-    int end() {
+    int endOffset() {
         return mItems.size();
     }
 
     /** Offset of the oldest record that is kept. */
-    int first(long nowMs) {
+    int firstOffset(long nowMs) {
         int first = 0;
         while (first < mItems.size() && mItems.get(first).atMs() < nowMs - mRetentionMs) {
             first++;
@@ -35,7 +35,7 @@
 
     List<LoggedView> read(int from, long nowMs) {
         List<LoggedView> views = new ArrayList<>();
-        for (int i = Math.max(from, first(nowMs)); i < mItems.size(); i++) {
+        for (int i = Math.max(from, firstOffset(nowMs)); i < mItems.size(); i++) {
             Item item = mItems.get(i);
             views.add(new LoggedView(i, item.record(), item.atMs(), nowMs - item.atMs()));
         }
--- a/core/src/test/java/org/boragegap/core/dispatch/HistoriesProperties.java
+++ b/core/src/test/java/org/boragegap/core/dispatch/HistoriesProperties.java
@@ -14,7 +14,7 @@
  * answer is whole or a failure, and what was said not to have run has not run.
  */
 final class HistoriesProperties {
-    private static final int HISTORIES_A_TRY = Integer.getInteger("boragegap.histories", 100);
+    private static final int HISTORIES_PER_TRY = Integer.getInteger("boragegap.histories", 100);
     private static final Long ONE_SEED = Long.getLong("boragegap.seed");
 
     @Property(
@@ -22,12 +22,12 @@
             seed = "20261202",
             shrinking = ShrinkingMode.OFF,
             edgeCases = EdgeCasesMode.NONE)
-    void noHistoryBreaksAPromise(@ForAll long first) {
+    void noHistoryViolatesAGuarantee(@ForAll long first) {
         if (ONE_SEED != null) {
             check(ONE_SEED);
             return;
         }
-        for (int i = 0; i < HISTORIES_A_TRY; i++) {
+        for (int i = 0; i < HISTORIES_PER_TRY; i++) {
             check(first + i);
         }
     }
--- a/core/src/test/java/org/boragegap/core/dispatch/History.java
+++ b/core/src/test/java/org/boragegap/core/dispatch/History.java
@@ -42,14 +42,14 @@
 
     private final SplittableRandom mRandom;
     private final int mDomains;
-    private final FakeLog mLog = new FakeLog(LIMITS.retentionMs());
+    private final FakeLog mLog = new FakeLog(LIMITS.logRetentionMs());
     private final PriorityQueue<Scheduled> mEvents =
             new PriorityQueue<>(
                     Comparator.comparingLong(Scheduled::atMs)
                             .thenComparingLong(Scheduled::sequence));
     private final Map<String, FakeVm> mVms = new HashMap<>();
-    private final Set<String> mCut = new HashSet<>();
-    private final Set<String> mLogCut = new HashSet<>();
+    private final Set<String> mCutPairs = new HashSet<>();
+    private final Set<String> mCutFromLog = new HashSet<>();
     private final Map<String, Integer> mStarts = new HashMap<>();
     private final Map<Long, String> mOpenCallers = new HashMap<>();
     private final Map<Long, FakeVm> mLinks = new HashMap<>();
@@ -109,7 +109,7 @@
         return mRandom.nextInt(100) < percent;
     }
 
-    private FakeVm anyVm() {
+    private FakeVm randomVm() {
         List<String> addresses = new ArrayList<>(mVms.keySet());
         addresses.sort(Comparator.naturalOrder());
         return mVms.get(addresses.get(mRandom.nextInt(addresses.size())));
@@ -121,17 +121,17 @@
         for (int i = 0; i < mDomains; i++) {
             domains.add("fd" + i);
         }
-        DispatchSettings settings = DispatchSettings.usual("fd" + domain, domains);
+        DispatchSettings settings = DispatchSettings.defaults("fd" + domain, domains);
         Dispatcher dispatcher = Dispatcher.create(member, settings, LIMITS, mRandom.split());
-        long skewMs = random(2 * LIMITS.skewMs() + 1) / 2 - LIMITS.skewMs() / 2;
+        long skewMs = random(2 * LIMITS.clockSkewMs() + 1) / 2 - LIMITS.clockSkewMs() / 2;
         FakeVm vm = new FakeVm(member, domain, dispatcher, skewMs);
         mVms.put(address, vm);
         at(1, () -> tick(vm));
         at(1 + random(50), () -> readLog(vm));
-        at(2, () -> list(vm));
+        at(2, () -> deliverVmList(vm));
     }
 
-    private void list(FakeVm vm) {
+    private void deliverVmList(FakeVm vm) {
         List<ListedVm> vms = new ArrayList<>();
         for (FakeVm other : mVms.values()) {
             vms.add(listed(other.mMember.address(), other.mDomain, VmKind.ENTRY));
@@ -140,7 +140,7 @@
             vms.add(listed("worker" + domain + ":1", domain, VmKind.WORKER));
             vms.add(listed("worker" + domain + ":2", domain, VmKind.WORKER));
         }
-        give(vm, new Event.VmsListed(vms));
+        deliver(vm, new Event.VmsListed(vms));
     }
 
     private static ListedVm listed(String address, int domain, VmKind kind) {
@@ -154,7 +154,7 @@
         }
         at(TICK_MS, () -> tick(vm));
         if (!vm.mPaused) {
-            give(vm, new Event.Ticked());
+            deliver(vm, new Event.Ticked());
         }
     }
 
@@ -163,45 +163,48 @@
             return;
         }
         at(250 + random(250), () -> readLog(vm));
-        if (vm.mPaused || mLogCut.contains(vm.mMember.address())) {
+        if (vm.mPaused || mCutFromLog.contains(vm.mMember.address())) {
             return;
         }
-        int first = mLog.first(mNowMs);
+        int first = mLog.firstOffset(mNowMs);
         if (first > vm.mLogOffset) {
             vm.mFirstOffset = first;
         }
         List<LoggedView> views = mLog.read(vm.mLogOffset, mNowMs);
-        vm.mLogOffset = mLog.end();
+        vm.mLogOffset = mLog.endOffset();
         LogBatch batch = new LogBatch(views, vm.mFirstOffset, vm.mLogOffset, mNowMs, true);
-        at(random(8), () -> give(vm, new Event.LogRead(batch, List.of())));
+        at(random(8), () -> deliver(vm, new Event.LogRead(batch, List.of())));
     }
 
     /** Hands an event to a VM; one that is paused takes it when it wakes. */
-    private void give(FakeVm vm, Event event) {
+    private void deliver(FakeVm vm, Event event) {
         if (!vm.mAlive) {
             return;
         }
         if (vm.mPaused) {
-            vm.mDeferred.add(() -> give(vm, event));
+            vm.mDeferred.add(() -> deliver(vm, event));
             return;
         }
         List<Action> actions = new ArrayList<>();
-        vm.mDispatcher.on(event, vm.clock(mNowMs), actions);
+        vm.mDispatcher.onEvent(event, vm.clock(mNowMs), actions);
         checkRefusals(event, actions);
         // A pause may fall between a decision and the send that carries it out.
         if (chance(1) && chance(30)) {
             pause(vm);
-            vm.mDeferred.add(() -> actions.forEach(action -> carryOut(vm, action)));
+            vm.mDeferred.add(() -> actions.forEach(action -> execute(vm, action)));
             return;
         }
-        actions.forEach(action -> carryOut(vm, action));
+        actions.forEach(action -> execute(vm, action));
     }
 
-    private void carryOut(FakeVm vm, Action action) {
-        if (action instanceof Action.Tell tell) {
-            send(vm, tell.address(), new Event.PeerSpoke(vm.mMember, tell.message()));
-        } else if (action instanceof Action.TellLoan tell) {
-            send(vm, tell.address(), new Event.SiblingLent(vm.mMember.address(), tell.message()));
+    private void execute(FakeVm vm, Action action) {
+        if (action instanceof Action.SendClaimMessage tell) {
+            send(vm, tell.address(), new Event.ClaimMessageReceived(vm.mMember, tell.message()));
+        } else if (action instanceof Action.SendLoanMessage tell) {
+            send(
+                    vm,
+                    tell.address(),
+                    new Event.LoanMessageReceived(vm.mMember.address(), tell.message()));
         } else if (action instanceof Action.AppendView append) {
             append(vm, append);
         } else if (action instanceof Action.Forward forward) {
@@ -215,7 +218,7 @@
 
     private boolean cut(FakeVm from, String to) {
         String one = from.mMember.address();
-        return mCut.contains(one + to) || mCut.contains(to + one);
+        return mCutPairs.contains(one + to) || mCutPairs.contains(to + one);
     }
 
     private void send(FakeVm from, String to, Event event) {
@@ -223,11 +226,11 @@
             return;
         }
         FakeVm target = mVms.get(to);
-        at(1 + random(chance(3) ? 3_000 : 3), () -> give(target, event));
+        at(1 + random(chance(3) ? 3_000 : 3), () -> deliver(target, event));
     }
 
     private void append(FakeVm vm, Action.AppendView append) {
-        boolean lost = mLogCut.contains(vm.mMember.address()) && chance(80);
+        boolean lost = mCutFromLog.contains(vm.mMember.address()) && chance(80);
         if (!lost) {
             long delayMs = chance(10) ? random(6_000) : 2 + random(10);
             at(delayMs, () -> mLog.append(append.record(), mNowMs));
@@ -237,20 +240,20 @@
     private void forward(FakeVm from, Action.Forward forward) {
         FakeVm to = mVms.get(forward.address());
         if (cut(from, forward.address()) || to == null) {
-            at(5, () -> give(from, lost(forward, false)));
+            at(5, () -> deliver(from, lost(forward, false)));
             return;
         }
         long link = mNextLink++;
         mLinks.put(link, from);
         CallerRef caller = new CallerRef.PeerCaller(link, forward.forwardId());
         Event event = new Event.Submitted(caller, forward.submission(), false, forward.hops());
-        at(1 + random(3), () -> give(to, event));
+        at(1 + random(3), () -> deliver(to, event));
         at(3_000, () -> checkForward(from, to, forward));
     }
 
     private void checkForward(FakeVm from, FakeVm to, Action.Forward forward) {
         if (!to.mAlive || to.mPaused || cut(from, to.mMember.address())) {
-            give(from, lost(forward, true));
+            deliver(from, lost(forward, true));
         }
     }
 
@@ -276,7 +279,7 @@
     }
 
     private void end(FakeVm vm, Action.Start start, Outcome outcome) {
-        at(50 + random(400), () -> give(vm, new Event.AttemptEnded(start.attempt(), outcome)));
+        at(50 + random(400), () -> deliver(vm, new Event.AttemptEnded(start.attempt(), outcome)));
     }
 
     private void reply(FakeVm vm, Action.Reply reply) {
@@ -284,7 +287,7 @@
             FakeVm asker = mLinks.get(peer.link());
             if (!cut(vm, asker.mMember.address())) {
                 Event event = new Event.ForwardAnswered(peer.forwardId(), reply.answer());
-                at(1 + random(3), () -> give(asker, event));
+                at(1 + random(3), () -> deliver(asker, event));
             }
         } else if (reply.caller() instanceof CallerRef.HttpCaller caller) {
             answered(caller.token(), reply);
@@ -298,13 +301,13 @@
             return;
         }
         if (reply.answer() instanceof Answer.Complete complete) {
-            checkWhole(id, complete);
+            checkComplete(id, complete);
         } else if (reply.answer() instanceof Answer.Failed failed) {
             mFailed.merge(failed.kind(), 1, Integer::sum);
         }
     }
 
-    private void checkWhole(String id, Answer.Complete complete) {
+    private void checkComplete(String id, Answer.Complete complete) {
         mComplete++;
         for (int i = 0; i < TASKS; i++) {
             String expected = "result of " + id + "/" + i;
@@ -356,7 +359,7 @@
     }
 
     private void submit(String text, long createdMs) {
-        FakeVm vm = anyVm();
+        FakeVm vm = randomVm();
         SubmissionId id = new SubmissionId(text, createdMs, Optional.empty(), Optional.empty());
         List<TaskSpec> tasks = new ArrayList<>();
         for (int i = 0; i < TASKS; i++) {
@@ -375,22 +378,22 @@
         long token = mNextCaller++;
         mOpenCallers.put(token, text);
         CallerRef caller = new CallerRef.HttpCaller(token);
-        give(vm, new Event.Submitted(caller, submission, false, 0));
+        deliver(vm, new Event.Submitted(caller, submission, false, 0));
     }
 
     private void scheduleFailures() {
         int failures = mRandom.nextInt(9);
         for (int i = 0; i < failures; i++) {
-            at(random(LENGTH_MS - 12_000), this::fail);
+            at(random(LENGTH_MS - 12_000), this::injectFailure);
         }
     }
 
-    private void fail() {
+    private void injectFailure() {
         switch (mRandom.nextInt(6)) {
-            case 0 -> replace(anyVm());
-            case 1 -> pause(anyVm());
-            case 2 -> cutPair(anyVm(), anyVm());
-            case 3 -> cutLog(List.of(anyVm()), 2_000 + random(15_000));
+            case 0 -> replace(randomVm());
+            case 1 -> pause(randomVm());
+            case 2 -> cutPair(randomVm(), randomVm());
+            case 3 -> cutLog(List.of(randomVm()), 2_000 + random(15_000));
             case 4 -> cutLog(new ArrayList<>(mVms.values()), 2_000 + random(25_000));
             default -> cutLog(new ArrayList<>(mVms.values()), 40_000);
         }
@@ -407,10 +410,10 @@
             return;
         }
         vm.mPaused = true;
-        at(200 + random(chance(30) ? 40_000 : 6_000), () -> wake(vm));
+        at(200 + random(chance(30) ? 40_000 : 6_000), () -> resume(vm));
     }
 
-    private void wake(FakeVm vm) {
+    private void resume(FakeVm vm) {
         vm.mPaused = false;
         List<Runnable> deferred = new ArrayList<>(vm.mDeferred);
         vm.mDeferred.clear();
@@ -421,15 +424,15 @@
 
     private void cutPair(FakeVm one, FakeVm other) {
         String pair = one.mMember.address() + other.mMember.address();
-        mCut.add(pair);
-        at(1_000 + random(20_000), () -> mCut.remove(pair));
+        mCutPairs.add(pair);
+        at(1_000 + random(20_000), () -> mCutPairs.remove(pair));
     }
 
     private void cutLog(List<FakeVm> vms, long lengthMs) {
         for (FakeVm vm : vms) {
             String address = vm.mMember.address();
-            if (mLogCut.add(address)) {
-                at(lengthMs, () -> mLogCut.remove(address));
+            if (mCutFromLog.add(address)) {
+                at(lengthMs, () -> mCutFromLog.remove(address));
             }
         }
     }
--- a/entry/src/main/java/org/boragegap/entry/ActionRunner.java
+++ b/entry/src/main/java/org/boragegap/entry/ActionRunner.java
@@ -29,7 +29,7 @@
     private CallerApi mCallers;
     private LogFollower mFollower;
     private Consumer<Event> mEvents;
-    private Consumer<Action.Drained> mDrained;
+    private Consumer<Action.ReportDrained> mDrained;
 
     ActionRunner(
             Member self,
@@ -48,7 +48,7 @@
             CallerApi callers,
             LogFollower follower,
             Consumer<Event> events,
-            Consumer<Action.Drained> drained) {
+            Consumer<Action.ReportDrained> drained) {
         mCallers = callers;
         mFollower = follower;
         mEvents = events;
@@ -72,9 +72,9 @@
             }
         } else if (action instanceof Action.Stop stop) {
             mTraffic.execute(() -> mTargets.stop(stop.target().address(), owner(), stop.attempt()));
-        } else if (action instanceof Action.Tell tell) {
+        } else if (action instanceof Action.SendClaimMessage tell) {
             mPeers.send(tell.address(), new PeerMessage.Claims(mSelf, tell.message()));
-        } else if (action instanceof Action.TellLoan tell) {
+        } else if (action instanceof Action.SendLoanMessage tell) {
             mPeers.send(tell.address(), new PeerMessage.Loans(mSelf.address(), tell.message()));
         } else if (action instanceof Action.Forward forward) {
             mPeers.send(
@@ -83,9 +83,9 @@
                             forward.forwardId(), forward.submission(), forward.hops()));
         } else if (action instanceof Action.ForwardCancel cancel) {
             mPeers.send(cancel.address(), new PeerMessage.Cancel(cancel.id(), cancel.hops()));
-        } else if (action instanceof Action.TellBundleVersion tell) {
+        } else if (action instanceof Action.SendBundleVersion tell) {
             mPeers.send(tell.address(), new PeerMessage.BundleVersion(tell.version()));
-        } else if (action instanceof Action.GiveBundle give) {
+        } else if (action instanceof Action.SendBundle give) {
             mPeers.answer(give.link(), new PeerMessage.BundleIs(give.bundle()));
         } else if (action instanceof Action.AppendView append) {
             append(new LogEntry.View(append.record()));
@@ -93,7 +93,7 @@
             append(
                     new LogEntry.Configuration(
                             BundleRecord.Kind.STATED, restate.asOf(), restate.bundle()));
-        } else if (action instanceof Action.Drained drained) {
+        } else if (action instanceof Action.ReportDrained drained) {
             mDrained.accept(drained);
         }
     }
--- a/entry/src/main/java/org/boragegap/entry/ControlLoop.java
+++ b/entry/src/main/java/org/boragegap/entry/ControlLoop.java
@@ -81,7 +81,7 @@
 
     private void handle(Event event) {
         List<Action> actions = new ArrayList<>();
-        mDispatcher.on(event, clock(), actions);
+        mDispatcher.onEvent(event, clock(), actions);
         mBusy = mDispatcher.busy();
         // With nothing else to do, handing a single message over would cost more than sending it.
         boolean idle = actions.size() <= MOST_INLINE && mQueue.isEmpty();
--- a/entry/src/main/java/org/boragegap/entry/EntryService.java
+++ b/entry/src/main/java/org/boragegap/entry/EntryService.java
@@ -58,7 +58,7 @@
     private final ScheduledExecutorService mTimer =
             Executors.newSingleThreadScheduledExecutor(task -> daemon(task, "timer"));
     private final CountDownLatch mDrained = new CountDownLatch(1);
-    private final AtomicReference<Action.Drained> mSummary = new AtomicReference<>();
+    private final AtomicReference<Action.ReportDrained> mSummary = new AtomicReference<>();
 
     private EntryService(Settings settings, long incarnation) throws EntryException {
         mSettings = settings;
@@ -203,10 +203,10 @@
     /** Begins a graceful shutdown; asking twice changes nothing. */
     public void drain() {
         sLog.info("draining");
-        mLoop.post(new Event.DrainAsked(mSettings.number(Setting.DRAIN_MS)));
+        mLoop.post(new Event.DrainRequested(mSettings.number(Setting.DRAIN_MS)));
     }
 
-    private void onDrained(Action.Drained drained) {
+    private void onDrained(Action.ReportDrained drained) {
         mSummary.set(drained);
         mDrained.countDown();
     }
@@ -217,7 +217,7 @@
         mTraffic.shutdown();
         mTraffic.awaitTermination(1, TimeUnit.SECONDS);
         mCallerEndpoint.drain(FLUSH_WITHIN_MS);
-        Action.Drained summary = mSummary.get();
+        Action.ReportDrained summary = mSummary.get();
         sLog.info(
                 "drained: {} submissions answered since the drain began, {} of them failed at the"
                         + " bound",
@@ -240,9 +240,9 @@
         @Override
         public void onMessage(long link, PeerMessage message) {
             if (message instanceof PeerMessage.Claims claims) {
-                mLoop.post(new Event.PeerSpoke(claims.from(), claims.message()));
+                mLoop.post(new Event.ClaimMessageReceived(claims.from(), claims.message()));
             } else if (message instanceof PeerMessage.Loans loans) {
-                mLoop.post(new Event.SiblingLent(loans.from(), loans.message()));
+                mLoop.post(new Event.LoanMessageReceived(loans.from(), loans.message()));
             } else if (message instanceof PeerMessage.Forward forward) {
                 CallerRef caller = new CallerRef.PeerCaller(link, forward.forwardId());
                 mLoop.post(
@@ -252,9 +252,9 @@
             } else if (message instanceof PeerMessage.Cancel cancel) {
                 mLoop.post(new Event.Cancelled(cancel.id(), cancel.hops()));
             } else if (message instanceof PeerMessage.BundleVersion version) {
-                mLoop.post(new Event.BundleVersionTold(link, version.version()));
+                mLoop.post(new Event.BundleVersionReceived(link, version.version()));
             } else if (message instanceof PeerMessage.BundleIs is) {
-                mLoop.post(new Event.BundlePassedOn(mChecker.check(is.bundle())));
+                mLoop.post(new Event.BundleReceived(mChecker.check(is.bundle())));
             } else if (message instanceof PeerMessage.Ask ask) {
                 mStatus.onAsked(link, ask);
             } else if (message instanceof PeerMessage.Told told) {
