--- a/core/src/main/java/org/boragegap/core/cell/Admission.java
+++ b/core/src/main/java/org/boragegap/core/cell/AdmissionControl.java
@@ -9,23 +9,23 @@
  * <p>Jobs start in the order of their latest start, so a job waits only for what is before it in
  * that order. Counting all that waits would refuse short jobs because long ones wait behind them.
  */
-final class Admission {
+final class AdmissionControl {
     /** Share of its slack that a job may be expected to wait; estimates are off by more. */
-    private static final double MOST_OF_SLACK = 0.2;
+    private static final double MAX_SLACK_SHARE = 0.2;
 
     /** Least time after which a refused caller is asked to come back, in ms. */
-    private static final long LEAST_RETRY_MS = 1_000;
+    private static final long MIN_RETRY_AFTER_MS = 1_000;
 
     private final Term mTerm;
-    private final RunTimes mTimes;
+    private final RunTimeEstimator mRunTimes;
 
-    Admission(Term term, RunTimes times) {
+    AdmissionControl(Term term, RunTimeEstimator times) {
         mTerm = term;
-        mTimes = times;
+        mRunTimes = times;
     }
 
     /** Expected run time of the longest chain of steps, in ms. */
-    long longestMs(JobRequest request) {
+    long criticalPathMs(JobRequest request) {
         long[] chain = new long[request.steps().size()];
         long longest = 0;
         for (int i = 0; i < chain.length; i++) {
@@ -34,20 +34,20 @@
             for (int earlier : step.dependsOn()) {
                 before = Math.max(before, chain[earlier]);
             }
-            chain[i] = before + Math.round(mTimes.expectedMs(request.queue(), step));
+            chain[i] = before + Math.round(mRunTimes.expectedMs(request.queue(), step));
             longest = Math.max(longest, chain[i]);
         }
         return longest;
     }
 
     /** Expected wait of a new job: all work before it, over all that can run at once. */
-    long waitMs(CellJob newcomer) {
+    long expectedWaitMs(CellJob newcomer) {
         double workMs = 0;
         double cpuMs = 0;
         for (CellJob job : mTerm.waiting().headSet(newcomer)) {
             for (int i = 0; i < job.request().steps().size(); i++) {
                 StepRequest step = job.request().steps().get(i);
-                double expectedMs = mTimes.expectedMs(job.request().queue(), step);
+                double expectedMs = mRunTimes.expectedMs(job.request().queue(), step);
                 double stepMs = expectedMs * job.readyCount(i);
                 workMs += stepMs;
                 cpuMs += stepMs * step.cpuMillis();
@@ -76,10 +76,10 @@
     /** True when a job with this wait ahead of it can't be expected to be in time. */
     boolean tooLate(CellJob job, long waitMs) {
         long slackMs = job.latestStartMs() - mTerm.nowMs();
-        return waitMs > MOST_OF_SLACK * slackMs;
+        return waitMs > MAX_SLACK_SHARE * slackMs;
     }
 
     long retryAfterMs(long waitMs) {
-        return Math.max(LEAST_RETRY_MS, waitMs);
+        return Math.max(MIN_RETRY_AFTER_MS, waitMs);
     }
 }
--- a/core/src/main/java/org/boragegap/core/cell/CellAction.java
+++ b/core/src/main/java/org/boragegap/core/cell/CellAction.java
@@ -47,19 +47,19 @@
     /**
      * Tell an entry VM how a job ended.
      *
-     * @param entry its peer address
+     * @param entryVm its peer address
      * @param job the job
      * @param number of the offer that is answered
      * @param verdict how it ended
      */
-    record Answer(String entry, String job, long number, Verdict verdict) implements CellAction {}
+    record Answer(String entryVm, String job, long number, Verdict verdict) implements CellAction {}
 
     /**
      * Tell all entry VMs on which targets this controller may start something.
      *
      * @param targets the targets
      */
-    record TellTargets(List<TargetInfo> targets) implements CellAction {}
+    record BroadcastTargets(List<TargetInfo> targets) implements CellAction {}
 
     /**
      * Tell all entry VMs that a target has crashed under a task, so that a next controller knows.
@@ -68,7 +68,8 @@
      * @param target id of the target
      * @param evidence how surely the task was at work there
      */
-    record TellCrash(TaskName task, String target, CrashEvidence evidence) implements CellAction {}
+    record BroadcastCrash(TaskName task, String target, CrashEvidence evidence)
+            implements CellAction {}
 
     /** Another controller has taken over: this VM must find out who. */
     record Deposed() implements CellAction {}
--- a/core/src/main/java/org/boragegap/core/cell/CellController.java
+++ b/core/src/main/java/org/boragegap/core/cell/CellController.java
@@ -22,10 +22,10 @@
      */
     private static final long SETTLE_MARGIN_MS = 100;
 
-    private static final double SLOWEST_CLOCK = 0.98;
+    private static final double MIN_CLOCK_RATE = 0.98;
 
     private final CellSettings mSettings;
-    private final RunTimes mTimes = new RunTimes();
+    private final RunTimeEstimator mRunTimes = new RunTimeEstimator();
     private final Evacuations mEvacuations = new Evacuations();
     private final CrashAccount mCrashes = new CrashAccount();
 
@@ -36,13 +36,13 @@
     private Term mTerm;
     private LeaseKeeper mLeases;
     private CrashWatch mCrashWatch;
-    private RunLedger mRuns;
-    private JobBook mJobs;
+    private RunTracker mRuns;
+    private JobLifecycle mJobs;
     private Placement mPlacement;
     private boolean mSettled;
-    private long mActsUntilMs = Long.MAX_VALUE;
+    private long mExclusiveUntilMs = Long.MAX_VALUE;
     private boolean mPredecessorsKnown;
-    private boolean mPredecessorsOver;
+    private boolean mPredecessorLeasesExpired;
 
     private CellController(CellSettings settings) {
         mSettings = settings;
@@ -62,7 +62,7 @@
      * True when this term has started nothing and has extended the lease of nothing: a next
      * controller needn't ask where its tasks are.
      */
-    public boolean hasTouchedNothing() {
+    public boolean hasAffectedNoTarget() {
         return mTerm == null || !mSettled && !mTerm.hasSeenRuns();
     }
 
@@ -91,8 +91,8 @@
      * before each event. No lease lasts longer, so what this controller has started is over when
      * the next one's term begins after a lapse.
      */
-    public void actsUntil(long untilMs) {
-        mActsUntilMs = untilMs;
+    public void exclusiveUntil(long untilMs) {
+        mExclusiveUntilMs = untilMs;
     }
 
     /** Handles an event; what is to be done is added to {@code actions}. */
@@ -103,35 +103,41 @@
             end(actions);
         } else if (event instanceof CellEvent.DomainsEvacuated evacuated) {
             evacuate(evacuated, actions);
-        } else if (event instanceof CellEvent.CrashTold told) {
+        } else if (event instanceof CellEvent.CrashReported told) {
             mCrashes.crashed(told.task(), told.target(), told.evidence(), clock.monotonicMs());
         }
         if (mTerm == null) {
             return;
         }
         mTerm.at(clock.monotonicMs(), actions);
-        mTerm.actsUntil(mActsUntilMs);
+        mTerm.actsUntil(mExclusiveUntilMs);
         handle(event);
-        startWhatFits();
+        schedule();
     }
 
     private void begin(CellEvent.TermBegan began, ClockReading clock, List<CellAction> actions) {
         long fence = began.fence();
         mTerm = new Term(fence, clock.monotonicMs(), mEvacuations, mCrashes, mStarted);
         mTerm.at(clock.monotonicMs(), actions);
-        mTerm.actsUntil(mActsUntilMs);
+        mTerm.actsUntil(mExclusiveUntilMs);
         mCrashWatch = new CrashWatch(mTerm);
-        mRuns = new RunLedger(mTerm, mTimes, mCrashWatch);
+        mRuns = new RunTracker(mTerm, mRunTimes, mCrashWatch);
         mLeases = new LeaseKeeper(mTerm, mRuns, mCrashWatch, () -> mNextCall++);
         mPlacement = new Placement(mTerm, mSettings);
-        mJobs = new JobBook(mTerm, mPlacement, new Admission(mTerm, mTimes), mRuns, mCrashWatch);
+        mJobs =
+                new JobLifecycle(
+                        mTerm,
+                        mPlacement,
+                        new AdmissionControl(mTerm, mRunTimes),
+                        mRuns,
+                        mCrashWatch);
         mRuns.connect(mJobs, mLeases);
         mCrashWatch.connect(mJobs);
         mSettled = false;
         mPredecessorsKnown = false;
-        mPredecessorsOver = false;
+        mPredecessorLeasesExpired = false;
         mTerm.log(Decision.self("control", "fence=" + fence, "this VM controls the cell"));
-        began.before().ifPresent(mLeases::inherit);
+        began.previousTargets().ifPresent(mLeases::inherit);
     }
 
     private void end(List<CellAction> actions) {
@@ -157,14 +163,14 @@
     private void handle(CellEvent event) {
         if (event instanceof CellEvent.TargetsListed listed) {
             mLeases.listed(listed.targets());
-            mJobs.refuseImpossible();
+            mJobs.refuseInfeasible();
         } else if (event instanceof CellEvent.DomainsEvacuated) {
-            mJobs.refuseImpossible();
+            mJobs.refuseInfeasible();
         } else if (event instanceof CellEvent.Offered offered) {
             mJobs.offered(offered);
         } else if (event instanceof CellEvent.Withdrawn withdrawn) {
             mJobs.withdrawn(withdrawn);
-        } else if (event instanceof CellEvent.CrashTold told) {
+        } else if (event instanceof CellEvent.CrashReported told) {
             mCrashWatch.told(told.task());
         } else if (event instanceof CellEvent.LeaseExtended extended) {
             mLeases.extended(extended);
@@ -175,7 +181,7 @@
         } else if (event instanceof CellEvent.StopAnswered answered) {
             mRuns.stopAnswered(answered);
         } else if (event instanceof CellEvent.PredecessorsKnown known) {
-            mPredecessorsOver = known.over();
+            mPredecessorLeasesExpired = known.leasesExpired();
             mPredecessorsKnown = true;
         } else if (event instanceof CellEvent.Ticked) {
             mLeases.tick();
@@ -196,10 +202,10 @@
         }
         // No controller asks for a longer lease than this, whatever a target may grant.
         long leaseMs = Math.min(mSettings.leaseMaxMs(), LeaseKeeper.LEASE_MS);
-        long boundMs = (long) (leaseMs / SLOWEST_CLOCK) + SETTLE_MARGIN_MS;
+        long boundMs = (long) (leaseMs / MIN_CLOCK_RATE) + SETTLE_MARGIN_MS;
         long ageMs = mTerm.nowMs() - mTerm.sinceMs();
         boolean over = ageMs > boundMs && !mTerm.targets().isEmpty();
-        boolean told = mPredecessorsKnown && (mPredecessorsOver || mLeases.allReported());
+        boolean told = mPredecessorsKnown && (mPredecessorLeasesExpired || mLeases.allReported());
         mSettled = over || told;
         if (mSettled) {
             mTerm.log(
@@ -211,7 +217,7 @@
         return mSettled;
     }
 
-    private void startWhatFits() {
+    private void schedule() {
         if (mTerm.waiting().isEmpty()) {
             return;
         }
@@ -231,7 +237,7 @@
         int roomCpu = mPlacement.largestRoomCpu();
         for (Iterator<CellJob> it = mTerm.waiting().iterator(); it.hasNext() && roomCpu >= 0; ) {
             CellJob job = it.next();
-            if (job.abandoned() || job.leastCpu() > roomCpu) {
+            if (job.abandoned() || job.minTaskCpu() > roomCpu) {
                 continue;
             }
             if (startTasks(job)) {
@@ -243,7 +249,7 @@
 
     /** Starts the job's tasks that have room; true when none is left. */
     private boolean startTasks(CellJob job) {
-        List<CellTask> ready = job.ready();
+        List<CellTask> ready = job.readyTasks();
         List<Run> started = new ArrayList<>(ready.size());
         for (CellTask task : ready) {
             Optional<Target> target = mPlacement.choose(task);
--- a/core/src/main/java/org/boragegap/core/cell/CellEvent.java
+++ b/core/src/main/java/org/boragegap/core/cell/CellEvent.java
@@ -11,17 +11,18 @@
      * This VM controls the cell from now on.
      *
      * @param fence fencing token of the term; higher than that of any earlier term
-     * @param before targets of the last term heard of, if they were told
+     * @param previousTargets targets of the last term heard of, if they were told
      */
-    record TermBegan(long fence, Optional<List<TargetInfo>> before) implements CellEvent {}
+    record TermBegan(long fence, Optional<List<TargetInfo>> previousTargets) implements CellEvent {}
 
     /**
      * All entry VMs in the group have told when they last controlled the cell.
      *
-     * @param over true when the leases of all earlier controllers are over; false when the last one
-     *     gave the cell up just now, and the targets that it told are all that may be at work
+     * @param leasesExpired true when the leases of all earlier controllers are over; false when the
+     *     last one gave the cell up just now, and the targets that it told are all that may be at
+     *     work
      */
-    record PredecessorsKnown(boolean over) implements CellEvent {}
+    record PredecessorsKnown(boolean leasesExpired) implements CellEvent {}
 
     /** This VM controls the cell no longer. */
     record TermEnded() implements CellEvent {}
@@ -47,12 +48,13 @@
      * @param target id of the target
      * @param evidence how surely the task was at work there
      */
-    record CrashTold(TaskName task, String target, CrashEvidence evidence) implements CellEvent {}
+    record CrashReported(TaskName task, String target, CrashEvidence evidence)
+            implements CellEvent {}
 
     /**
      * A job that a caller waits for at an entry VM; may come again.
      *
-     * @param entry peer address of that entry VM
+     * @param entryVm peer address of that entry VM
      * @param request the job
      * @param ageMs how long ago the caller handed it in, in ms
      * @param budgetMs how long the caller waits in all, in ms
@@ -60,7 +62,7 @@
      * @param number names the offer within that entry VM; its verdict repeats it
      */
     record Offered(
-            String entry,
+            String entryVm,
             JobRequest request,
             long ageMs,
             long budgetMs,
@@ -71,10 +73,10 @@
     /**
      * The caller doesn't wait any more.
      *
-     * @param entry peer address of the entry VM
+     * @param entryVm peer address of the entry VM
      * @param job the job
      */
-    record Withdrawn(String entry, String job) implements CellEvent {}
+    record Withdrawn(String entryVm, String job) implements CellEvent {}
 
     /**
      * A target extended its lease and reported.
--- a/core/src/main/java/org/boragegap/core/cell/CellJob.java
+++ b/core/src/main/java/org/boragegap/core/cell/CellJob.java
@@ -13,22 +13,22 @@
      * often its predecessor started a task; a target rejects a number that it has seen. Far more
      * than the attempts that a queue allows.
      */
-    private static final int RUNS_PER_CONTROLLER = 16;
+    private static final int RUN_NUMBERS_PER_CONTROLLER = 16;
 
     /**
      * Up to this many times its objective a late answer is still worth something to a caller; by
      * the platform's rules.
      */
-    private static final int LATE_TIMES = 3;
+    private static final int MAX_USEFUL_OBJECTIVES = 3;
 
     private final JobRequest mRequest;
     private final long mArrivedMs;
     private final long mObjectiveMs;
-    private final long mLongestMs;
+    private final long mCriticalPathMs;
     private final long mBudgetMs;
-    private final int mLeastCpu;
+    private final int mMinTaskCpu;
     private final List<List<CellTask>> mSteps = new ArrayList<>();
-    private final Map<String, Long> mEntries = new LinkedHashMap<>();
+    private final Map<String, Long> mOffersByEntryVm = new LinkedHashMap<>();
     private int mOpenTasks;
     private boolean mMayHaveStarted;
     private long mAbandonedMs = -1;
@@ -47,12 +47,12 @@
         for (StepRequest step : request.steps()) {
             leastCpu = Math.min(leastCpu, step.cpuMillis());
         }
-        mLeastCpu = leastCpu;
+        mMinTaskCpu = leastCpu;
         mArrivedMs = arrivedMs;
         mObjectiveMs = objectiveMs;
-        mLongestMs = longestMs;
+        mCriticalPathMs = longestMs;
         mMayHaveStarted = controllers > 1;
-        int firstRun = 1 + RUNS_PER_CONTROLLER * (controllers - 1);
+        int firstRun = 1 + RUN_NUMBERS_PER_CONTROLLER * (controllers - 1);
         for (int step = 0; step < request.steps().size(); step++) {
             addStep(step, firstRun);
         }
@@ -86,13 +86,13 @@
     }
 
     /** Processor of its smallest task, in thousandths of a core. */
-    int leastCpu() {
-        return mLeastCpu;
+    int minTaskCpu() {
+        return mMinTaskCpu;
     }
 
     /** Latest time at which its longest task can start for the job to meet its objective. */
     long latestStartMs() {
-        return mArrivedMs + mObjectiveMs - mLongestMs;
+        return mArrivedMs + mObjectiveMs - mCriticalPathMs;
     }
 
     /**
@@ -100,12 +100,14 @@
      * the caller waits, or than a late one is worth anything.
      */
     long lastUsefulStartMs() {
-        return mArrivedMs + Math.min(mBudgetMs, LATE_TIMES * mObjectiveMs) - mLongestMs;
+        return mArrivedMs
+                + Math.min(mBudgetMs, MAX_USEFUL_OBJECTIVES * mObjectiveMs)
+                - mCriticalPathMs;
     }
 
     /** Entry VMs that wait for it, each with the number of its last offer. */
-    Map<String, Long> entries() {
-        return mEntries;
+    Map<String, Long> offersByEntryVm() {
+        return mOffersByEntryVm;
     }
 
     boolean mayHaveStarted() {
@@ -113,7 +115,7 @@
     }
 
     /** A task of it was ordered, or is known to have been by an earlier controller. */
-    void startSent() {
+    void markMayHaveStarted() {
         mMayHaveStarted = true;
     }
 
@@ -123,12 +125,12 @@
     }
 
     /** To be called while no ordered set holds it. */
-    void foundLate() {
+    void markLate() {
         mLate = true;
     }
 
     /** True when some task of it runs or is done. */
-    boolean begun() {
+    boolean hasProgress() {
         int all = 0;
         for (List<CellTask> tasks : mSteps) {
             all += tasks.size();
@@ -148,12 +150,12 @@
         mAbandonedMs = nowMs;
     }
 
-    void wanted(String entry, long offer) {
-        mEntries.put(entry, offer);
+    void addOffer(String entry, long offer) {
+        mOffersByEntryVm.put(entry, offer);
         mAbandonedMs = -1;
     }
 
-    List<CellTask> step(int step) {
+    List<CellTask> tasksOfStep(int step) {
         return mSteps.get(step);
     }
 
@@ -168,10 +170,10 @@
     }
 
     /** Tasks that may start now: not done, not running, and all steps before them done. */
-    List<CellTask> ready() {
+    List<CellTask> readyTasks() {
         List<CellTask> ready = new ArrayList<>();
         for (List<CellTask> tasks : mSteps) {
-            if (tasks.isEmpty() || !unblocked(tasks.get(0).step())) {
+            if (tasks.isEmpty() || !dependenciesDone(tasks.get(0).step())) {
                 continue;
             }
             for (CellTask task : tasks) {
@@ -186,7 +188,7 @@
     /** How many tasks of a step may start now. */
     int readyCount(int step) {
         List<CellTask> tasks = mSteps.get(step);
-        if (tasks.isEmpty() || !unblocked(tasks.get(0).step())) {
+        if (tasks.isEmpty() || !dependenciesDone(tasks.get(0).step())) {
             return 0;
         }
         int ready = 0;
@@ -196,7 +198,7 @@
         return ready;
     }
 
-    private boolean unblocked(StepRequest step) {
+    private boolean dependenciesDone(StepRequest step) {
         for (int before : step.dependsOn()) {
             for (CellTask task : mSteps.get(before)) {
                 if (!task.done()) {
@@ -209,7 +211,7 @@
 
     /** Counts a task as done; true when it was the last. */
     boolean finish(CellTask task) {
-        task.finished();
+        task.markDone();
         mOpenTasks--;
         return mOpenTasks == 0;
     }
--- a/core/src/main/java/org/boragegap/core/cell/CellMember.java
+++ b/core/src/main/java/org/boragegap/core/cell/CellMember.java
@@ -22,7 +22,7 @@
     private final String mSelf;
     private final HeartbeatPace mPace = new HeartbeatPace();
     private final Heartbeats mHeartbeats = new Heartbeats();
-    private final EntryDesk mDesk;
+    private final PendingJobs mDesk;
     private final CellController mController;
     private final Membership mMembership;
 
@@ -38,7 +38,7 @@
     private CellMember(
             String self, int cell, CellSettings settings, long groupLeaseMs, ClockReading began) {
         mSelf = self;
-        mDesk = EntryDesk.create(mPace, began);
+        mDesk = PendingJobs.create(mPace, began);
         mController = CellController.create(settings);
         mMembership = Membership.create(groupLeaseMs, began);
         mSearch = new ControllerSearch(self, cell, mMembership, mDesk, mFollowers, mPace);
@@ -112,7 +112,7 @@
 
     /** How many callers wait here. */
     public int waitingCallers() {
-        return mDesk.waiting();
+        return mDesk.waitingCallers();
     }
 
     /** Generation of the group to name when joining again. */
@@ -191,7 +191,7 @@
             return;
         }
         if (term.isPresent()) {
-            if (!mController.hasTouchedNothing()) {
+            if (!mController.hasAffectedNoTarget()) {
                 mBefore.ownTermEnded(term.get(), mClock.monotonicMs());
             }
             control(new CellEvent.TermEnded());
@@ -283,7 +283,7 @@
 
     private void tick() {
         long nowMs = mClock.monotonicMs();
-        mDesk.heldUp(mHeartbeats.ticked(nowMs, mPace.tickMs()), nowMs);
+        mDesk.compensateForStall(mHeartbeats.ticked(nowMs, mPace.tickMs()), nowMs);
         mMembership.tick(mClock, vouched());
         followMembership();
         search();
@@ -350,7 +350,9 @@
         } else if (message instanceof CellMessage.Targets targets) {
             mTargets.told(targets);
         } else if (message instanceof CellMessage.Crashed crashed) {
-            control(new CellEvent.CrashTold(crashed.task(), crashed.target(), crashed.evidence()));
+            control(
+                    new CellEvent.CrashReported(
+                            crashed.task(), crashed.target(), crashed.evidence()));
         } else if (message instanceof CellMessage.Following following) {
             following(from, following);
         }
@@ -445,7 +447,7 @@
 
     private void control(CellEvent event) {
         List<CellAction> actions = new ArrayList<>();
-        mController.actsUntil(mMembership.actsUntilMs(mClock));
+        mController.exclusiveUntil(mMembership.actsUntilMs(mClock));
         mController.on(event, mClock, actions);
         actions.forEach(this::run);
     }
@@ -453,11 +455,11 @@
     private void run(CellAction action) {
         if (action instanceof CellAction.Answer answer) {
             tell(
-                    answer.entry(),
+                    answer.entryVm(),
                     new CellMessage.Decided(answer.job(), answer.number(), answer.verdict()));
-        } else if (action instanceof CellAction.TellTargets told) {
+        } else if (action instanceof CellAction.BroadcastTargets told) {
             tellTargets(told.targets());
-        } else if (action instanceof CellAction.TellCrash crash) {
+        } else if (action instanceof CellAction.BroadcastCrash crash) {
             sendToAll(new CellMessage.Crashed(crash.task(), crash.target(), crash.evidence()));
         } else if (action instanceof CellAction.Deposed) {
             deposed(mDesk.fence());
@@ -475,7 +477,7 @@
     }
 
     private void run(EntryAction action) {
-        if (action instanceof EntryAction.Tell tell) {
+        if (action instanceof EntryAction.Send tell) {
             tell(tell.address(), tell.message());
         } else if (action instanceof EntryAction.Reply reply) {
             mActions.add(new MemberAction.Reply(reply));
--- a/core/src/main/java/org/boragegap/core/cell/CellTask.java
+++ b/core/src/main/java/org/boragegap/core/cell/CellTask.java
@@ -52,16 +52,16 @@
         mNextRun = Math.max(mNextRun, number + 1);
     }
 
-    void began(Run run) {
+    void assignRun(Run run) {
         mRun = run;
         skipRunsUpTo(run.number());
     }
 
-    void released() {
+    void clearRun() {
         mRun = null;
     }
 
-    void finished() {
+    void markDone() {
         mRun = null;
         mDone = true;
     }
--- a/core/src/main/java/org/boragegap/core/cell/Configuration.java
+++ b/core/src/main/java/org/boragegap/core/cell/Configuration.java
@@ -21,11 +21,12 @@
      * @param prefix path prefix; the longest one that fits wins
      * @param service service whose targets run its tasks
      * @param timeoutMs how long a request may take, in ms
-     * @param aimMs part of the objective that doesn't depend on the work, in ms
+     * @param objectiveBaseMs part of the objective that doesn't depend on the work, in ms
      * @param stretch part of the objective that does, as a factor
      * @param urgency 0 is the most urgent
      * @param maxAttempts failed runs of one task after which its job has failed
-     * @param advised true when only a service of the platform knows which targets may run a step
+     * @param needsAdvice true when only a service of the platform knows which targets may run a
+     *     step
      */
     public record Route(
             String name,
@@ -33,19 +34,19 @@
             String prefix,
             String service,
             long timeoutMs,
-            long aimMs,
+            long objectiveBaseMs,
             double stretch,
             int urgency,
             int maxAttempts,
-            boolean advised) {}
+            boolean needsAdvice) {}
 
     /**
      * A service.
      *
      * @param name its name
-     * @param guarded true when its targets reject what doesn't fit
+     * @param enforcesCapacity true when its targets reject what doesn't fit
      */
-    public record Service(String name, boolean guarded) {}
+    public record Service(String name, boolean enforcesCapacity) {}
 
     /** The queue of a request; empty when there is none. */
     public Optional<Route> route(String host, String path) {
--- a/core/src/main/java/org/boragegap/core/cell/ControllerSearch.java
+++ b/core/src/main/java/org/boragegap/core/cell/ControllerSearch.java
@@ -15,7 +15,7 @@
     private final String mSelf;
     private final Candidacy mCandidacy;
     private final Membership mMembership;
-    private final EntryDesk mDesk;
+    private final PendingJobs mDesk;
     private final Followers mFollowers;
     private final HeartbeatPace mPace;
     private int mStrength;
@@ -24,7 +24,7 @@
             String self,
             int cell,
             Membership membership,
-            EntryDesk desk,
+            PendingJobs desk,
             Followers followers,
             HeartbeatPace pace) {
         mSelf = self;
@@ -80,7 +80,7 @@
             return false;
         }
         long nowMs = clock.monotonicMs();
-        long silentMs = mMembership.silentMs(mDesk.heardMs(), mPace.silentMs(), clock);
+        long silentMs = mMembership.silentMs(mDesk.lastHeardMs(), mPace.silentMs(), clock);
         boolean cutOff = mMembership.cutOff(clock);
         boolean tells = mCandidacy.tells(silentMs, nowMs);
         if (tells) {
--- a/core/src/main/java/org/boragegap/core/cell/CrashEvidence.java
+++ b/core/src/main/java/org/boragegap/core/cell/CrashEvidence.java
@@ -18,8 +18,8 @@
     static Optional<CrashEvidence> of(Run run) {
         return switch (run.state()) {
             case STARTING -> Optional.empty();
-            case UNSETTLED -> Optional.of(POSSIBLE);
-            case RUNNING -> Optional.of(run.stopAsked() ? POSSIBLE : CONFIRMED);
+            case UNCONFIRMED -> Optional.of(POSSIBLE);
+            case RUNNING -> Optional.of(run.stopRequested() ? POSSIBLE : CONFIRMED);
         };
     }
 
--- a/core/src/main/java/org/boragegap/core/cell/CrashWatch.java
+++ b/core/src/main/java/org/boragegap/core/cell/CrashWatch.java
@@ -8,7 +8,7 @@
     private final Term mTerm;
     private final CrashAccount mAccount;
     private final LossWatch mLosses;
-    private JobBook mJobs;
+    private JobLifecycle mJobs;
 
     CrashWatch(Term term) {
         mTerm = term;
@@ -17,7 +17,7 @@
     }
 
     /** Connects what depends on each other; to be called once, before use. */
-    void connect(JobBook jobs) {
+    void connect(JobLifecycle jobs) {
         mJobs = jobs;
     }
 
@@ -69,7 +69,7 @@
         for (LostRun run : runs) {
             TaskName task = run.task();
             mAccount.crashed(task, run.target(), run.evidence(), mTerm.nowMs());
-            mTerm.act(new CellAction.TellCrash(task, run.target(), run.evidence()));
+            mTerm.act(new CellAction.BroadcastCrash(task, run.target(), run.evidence()));
             log(run, runs.size() - 1, found, verdictOn(task).isPresent());
             told(task);
         }
--- a/core/src/main/java/org/boragegap/core/cell/EntryAction.java
+++ b/core/src/main/java/org/boragegap/core/cell/EntryAction.java
@@ -9,7 +9,7 @@
      * @param address its peer address; may be this VM's own
      * @param message the message
      */
-    record Tell(String address, CellMessage message) implements EntryAction {}
+    record Send(String address, CellMessage message) implements EntryAction {}
 
     /**
      * Answer a waiting caller.
--- a/core/src/main/java/org/boragegap/core/cell/JobBook.java
+++ b/core/src/main/java/org/boragegap/core/cell/JobLifecycle.java
@@ -11,44 +11,44 @@
 import java.util.function.ToLongFunction;
 
 /** Takes jobs on, and tells the entry VMs how they ended. */
-final class JobBook {
+final class JobLifecycle {
     /**
      * How long a verdict is kept, in ms. A caller whose connection broke hands the job in again
      * after a second or two, and gets the same answer.
      */
-    private static final long VERDICT_KEEP_MS = 10_000;
+    private static final long VERDICT_RETENTION_MS = 10_000;
 
     /** How long a job without a caller is kept for its return, in ms; see above. */
-    private static final long ABANDONED_KEEP_MS = 3_000;
+    private static final long ABANDONED_RETENTION_MS = 3_000;
 
     /**
      * How long a refusal is remembered, in ms; a connection that is silent for two seconds is
      * closed, and what it held is lost with it.
      */
-    private static final long REFUSAL_KEEP_MS = 10_000;
+    private static final long REFUSAL_RETENTION_MS = 10_000;
 
     /** Reason of a refusal. */
-    private static final String IMPOSSIBLE = "no target can hold it";
+    private static final String INFEASIBLE_REASON = "no target can hold it";
 
-    private record Kept(Verdict verdict, long atMs) {}
+    private record KeptVerdict(Verdict verdict, long atMs) {}
 
-    private record Waiter(String entry, String job) {}
+    private record OfferKey(String entryVm, String job) {}
 
     private record Refusal(long number, long atMs) {}
 
     private final Term mTerm;
     private final Placement mPlacement;
-    private final Admission mAdmission;
-    private final RunLedger mRuns;
+    private final AdmissionControl mAdmission;
+    private final RunTracker mRuns;
     private final CrashWatch mCrashes;
-    private final Map<String, Kept> mVerdicts = new LinkedHashMap<>();
-    private final Map<Waiter, Refusal> mRefusals = new LinkedHashMap<>();
+    private final Map<String, KeptVerdict> mVerdicts = new LinkedHashMap<>();
+    private final Map<OfferKey, Refusal> mRefusals = new LinkedHashMap<>();
 
-    JobBook(
+    JobLifecycle(
             Term term,
             Placement placement,
-            Admission admission,
-            RunLedger runs,
+            AdmissionControl admission,
+            RunTracker runs,
             CrashWatch crashes) {
         mTerm = term;
         mPlacement = placement;
@@ -59,18 +59,18 @@
 
     void offered(CellEvent.Offered offer) {
         String id = offer.request().id();
-        Kept kept = mVerdicts.get(id);
+        KeptVerdict kept = mVerdicts.get(id);
         if (kept != null) {
-            answer(offer.entry(), id, offer.number(), kept.verdict());
+            answer(offer.entryVm(), id, offer.number(), kept.verdict());
             return;
         }
         CellJob known = mTerm.jobs().get(id);
         if (known != null) {
-            known.wanted(offer.entry(), offer.number());
+            known.addOffer(offer.entryVm(), offer.number());
             return;
         }
-        if (!refusedSince(offer)) {
-            consider(offer);
+        if (!refusedLaterOffer(offer)) {
+            admitOrRefuse(offer);
         }
     }
 
@@ -79,15 +79,15 @@
      * meanwhile, that offer was refused, and the caller was told so. Taking the earlier one on
      * would run a job that was said not to run.
      */
-    private boolean refusedSince(CellEvent.Offered offer) {
-        Refusal refusal = mRefusals.get(new Waiter(offer.entry(), offer.request().id()));
+    private boolean refusedLaterOffer(CellEvent.Offered offer) {
+        Refusal refusal = mRefusals.get(new OfferKey(offer.entryVm(), offer.request().id()));
         return refusal != null && refusal.number() > offer.number();
     }
 
-    private void consider(CellEvent.Offered offer) {
+    private void admitOrRefuse(CellEvent.Offered offer) {
         JobRequest request = offer.request();
-        long longestMs = mAdmission.longestMs(request);
-        long objectiveMs = Math.round(request.stretch() * longestMs) + request.aimMs();
+        long longestMs = mAdmission.criticalPathMs(request);
+        long objectiveMs = Math.round(request.stretch() * longestMs) + request.objectiveBaseMs();
         long arrivedMs = mTerm.nowMs() - offer.ageMs();
         CellJob job =
                 new CellJob(
@@ -97,25 +97,25 @@
                         objectiveMs,
                         longestMs,
                         offer.controllers());
-        job.wanted(offer.entry(), offer.number());
+        job.addOffer(offer.entryVm(), offer.number());
         // Before any verdict: what is known to be done needs no room, and hasn't failed.
-        if (mRuns.creditDone(job)) {
+        if (mRuns.markKnownDone(job)) {
             end(job, new Verdict.Completed());
             return;
         }
         Optional<Verdict> failure = mCrashes.verdictOn(job);
         if (failure.isPresent()) {
-            answer(offer.entry(), job.id(), offer.number(), failure.get());
+            answer(offer.entryVm(), job.id(), offer.number(), failure.get());
             return;
         }
-        if (impossible(job)) {
-            refuse(offer.entry(), offer.number(), job, IMPOSSIBLE, 0);
+        if (isInfeasible(job)) {
+            refuse(offer.entryVm(), offer.number(), job, INFEASIBLE_REASON, 0);
             return;
         }
-        long waitMs = mAdmission.waitMs(job);
+        long waitMs = mAdmission.expectedWaitMs(job);
         boolean hopeless = mAdmission.tooLate(job, waitMs) && !mPlacement.roomFor(job);
         if (hopeless && !job.mayHaveStarted()) {
-            refuse(offer.entry(), offer.number(), job, "would wait too long", waitMs);
+            refuse(offer.entryVm(), offer.number(), job, "would wait too long", waitMs);
             return;
         }
         mTerm.jobs().put(job.id(), job);
@@ -140,7 +140,7 @@
         mRuns.adopt(job);
     }
 
-    private boolean impossible(CellJob job) {
+    private boolean isInfeasible(CellJob job) {
         return mTerm.areTargetsKnown() && !mPlacement.possible(job.request());
     }
 
@@ -162,7 +162,7 @@
                                 + job.objectiveMs()
                                 + startedIn.map(fence -> " started_in=" + fence).orElse(""),
                         reason));
-        Waiter waiter = new Waiter(entry, job.id());
+        OfferKey waiter = new OfferKey(entry, job.id());
         // Taken out first: an entry that is written over would keep its place among the oldest.
         mRefusals.remove(waiter);
         mRefusals.put(waiter, new Refusal(number, mTerm.nowMs()));
@@ -174,7 +174,7 @@
      * until its time was over, such a caller lost a second or more in which it could have come
      * back, and was not told whether its job had run.
      */
-    private void refuseUseless() {
+    private void refuseExpired() {
         refuseWaiting(job -> mTerm.nowMs() > job.lastUsefulStartMs(), "waited too long");
     }
 
@@ -182,21 +182,21 @@
      * Refuses waiting jobs that no target can hold any more, now that targets have gone, have less
      * room, or are in a failure domain that is to be emptied.
      */
-    void refuseImpossible() {
-        refuseWaiting(this::impossible, IMPOSSIBLE);
+    void refuseInfeasible() {
+        refuseWaiting(this::isInfeasible, INFEASIBLE_REASON);
     }
 
     private void refuseWaiting(Predicate<CellJob> hopeless, String reason) {
         List<CellJob> refused = new ArrayList<>();
         for (CellJob job : mTerm.waiting()) {
-            boolean wanted = !job.entries().isEmpty() && !job.mayHaveStarted();
+            boolean wanted = !job.offersByEntryVm().isEmpty() && !job.mayHaveStarted();
             if (wanted && hopeless.test(job)) {
                 refused.add(job);
             }
         }
         for (CellJob job : refused) {
             drop(job);
-            job.entries().forEach((entry, number) -> refuse(entry, number, job, reason, 0));
+            job.offersByEntryVm().forEach((entry, number) -> refuse(entry, number, job, reason, 0));
         }
     }
 
@@ -209,8 +209,8 @@
         if (job == null) {
             return;
         }
-        job.entries().remove(event.entry());
-        if (job.entries().isEmpty() && !job.abandoned()) {
+        job.offersByEntryVm().remove(event.entryVm());
+        if (job.offersByEntryVm().isEmpty() && !job.abandoned()) {
             job.abandon(mTerm.nowMs());
             mTerm.log(Decision.job("abandon", job.id(), "callers=0", "starts nothing more"));
         }
@@ -220,8 +220,8 @@
     void end(CellJob job, Verdict verdict) {
         drop(job);
         mVerdicts.remove(job.id());
-        mVerdicts.put(job.id(), new Kept(verdict, mTerm.nowMs()));
-        job.entries().forEach((entry, offer) -> answer(entry, job.id(), offer, verdict));
+        mVerdicts.put(job.id(), new KeptVerdict(verdict, mTerm.nowMs()));
+        job.offersByEntryVm().forEach((entry, offer) -> answer(entry, job.id(), offer, verdict));
         for (CellTask task : job.tasks()) {
             task.run().ifPresent(mRuns::stop);
         }
@@ -248,7 +248,7 @@
      * Removes entries from the oldest on; they stand in the order in which they were made, so that
      * none has to be looked at that stays.
      */
-    private static <T> void forgetBefore(
+    private static <T> void removeOlderThan(
             Collection<T> entries, ToLongFunction<T> atMs, long beforeMs) {
         Iterator<T> it = entries.iterator();
         while (it.hasNext() && atMs.applyAsLong(it.next()) < beforeMs) {
@@ -257,13 +257,14 @@
     }
 
     void tick() {
-        refuseUseless();
-        forgetBefore(mRefusals.values(), Refusal::atMs, mTerm.nowMs() - REFUSAL_KEEP_MS);
-        forgetBefore(mVerdicts.values(), Kept::atMs, mTerm.nowMs() - VERDICT_KEEP_MS);
+        refuseExpired();
+        removeOlderThan(mRefusals.values(), Refusal::atMs, mTerm.nowMs() - REFUSAL_RETENTION_MS);
+        removeOlderThan(
+                mVerdicts.values(), KeptVerdict::atMs, mTerm.nowMs() - VERDICT_RETENTION_MS);
         List<CellJob> gone = new ArrayList<>();
         for (CellJob job : mTerm.jobs().values()) {
             boolean unwanted =
-                    job.abandoned() && mTerm.nowMs() - job.abandonedMs() > ABANDONED_KEEP_MS;
+                    job.abandoned() && mTerm.nowMs() - job.abandonedMs() > ABANDONED_RETENTION_MS;
             if (unwanted && !job.hasRuns()) {
                 gone.add(job);
             }
--- a/core/src/main/java/org/boragegap/core/cell/JobRequest.java
+++ b/core/src/main/java/org/boragegap/core/cell/JobRequest.java
@@ -10,8 +10,9 @@
  * @param service whose targets run it
  * @param urgency 0 is the most urgent
  * @param maxAttempts failed runs of one task after which the job has failed
- * @param stretch the objective is this many times the longest chain of work, plus {@code aimMs}
- * @param aimMs see {@code stretch}
+ * @param stretch the objective is this many times the longest chain of work, plus {@code
+ *     objectiveBaseMs}
+ * @param objectiveBaseMs see {@code stretch}
  * @param spec passed on to the targets as it is
  * @param steps what to run
  * @param configVersion version of the configuration that routed it
@@ -23,7 +24,7 @@
         int urgency,
         int maxAttempts,
         double stretch,
-        long aimMs,
+        long objectiveBaseMs,
         String spec,
         List<StepRequest> steps,
         long configVersion) {}
--- a/core/src/main/java/org/boragegap/core/cell/LeaseKeeper.java
+++ b/core/src/main/java/org/boragegap/core/cell/LeaseKeeper.java
@@ -58,7 +58,7 @@
     private static final long ANNOUNCE_MS = 200;
 
     private final Term mTerm;
-    private final RunLedger mRuns;
+    private final RunTracker mRuns;
     private final CrashWatch mCrashes;
     private final LongSupplier mCallNumbers;
     private List<TargetInfo> mAnnounced = List.of();
@@ -72,7 +72,7 @@
      * @param callNumbers a new number for each call, over all terms of this VM: an answer to a call
      *     of an earlier term says nothing of this one
      */
-    LeaseKeeper(Term term, RunLedger runs, CrashWatch crashes, LongSupplier callNumbers) {
+    LeaseKeeper(Term term, RunTracker runs, CrashWatch crashes, LongSupplier callNumbers) {
         mTerm = term;
         mRuns = runs;
         mCrashes = crashes;
@@ -131,7 +131,7 @@
         mTerm.targets().values().forEach(target -> infos.add(target.info()));
         if (!infos.equals(mAnnounced)) {
             mAnnounced = infos;
-            mTerm.act(new CellAction.TellTargets(infos));
+            mTerm.act(new CellAction.BroadcastTargets(infos));
         }
     }
 
@@ -174,7 +174,7 @@
         if (!mTerm.losesAnswers() || target.runs().isEmpty()) {
             return WAIT_MS;
         }
-        long endMs = mRuns.nextEndMs(target);
+        long endMs = mRuns.expectedNextEndMs(target);
         return Math.max(LEAST_WAIT_MS, Math.min(WAIT_MS, endMs - mTerm.nowMs() + LEAST_WAIT_MS));
     }
 
@@ -272,7 +272,7 @@
     /** Another incarnation answers at the target's address: all that ran there has ended. */
     void replaced(Target target) {
         List<LostRun> runs = mCrashes.noteLoss(target);
-        mRuns.allOver(target, "another incarnation");
+        mRuns.releaseAll(target, "another incarnation");
         mTerm.targets().remove(target.id());
         mReplaced.put(target.id(), mTerm.nowMs());
         mTerm.expectSuccessor(target.info());
@@ -290,7 +290,7 @@
                                 "silent_ms=" + (mTerm.nowMs() - target.calls().answeredMs()),
                                 "its runs start elsewhere"));
                 mCrashes.lapsed(target);
-                mRuns.allOver(target, "lease over");
+                mRuns.releaseAll(target, "lease over");
             }
             boolean gone = target.unlistedFor(mTerm.nowMs(), UNLISTED_GRACE_MS);
             if (gone && target.runs().isEmpty()) {
--- a/core/src/main/java/org/boragegap/core/cell/EntryDesk.java
+++ b/core/src/main/java/org/boragegap/core/cell/PendingJobs.java
@@ -13,18 +13,18 @@
  * <p>The entry VM holds each job until it is answered. When a controller is replaced, the jobs are
  * offered to the next one: no waiting job depends on the memory of a single VM.
  */
-public final class EntryDesk {
+public final class PendingJobs {
     /**
      * How long a job may wait for a controller to be known, in ms. A planned hand-over takes some
      * ten ms; a caller is better served by coming back than by waiting longer.
      */
-    private static final long HAND_OVER_MS = 250;
+    private static final long CONTROLLER_WAIT_MS = 250;
 
     /** When a caller should come back after a refusal for want of a controller, in ms. */
     private static final long RETRY_AFTER_MS = 1_000;
 
     /** A job without a verdict is offered again after this time, in ms: a frame may be lost. */
-    private static final long OFFER_AGAIN_MS = 1_000;
+    private static final long REOFFER_AFTER_MS = 1_000;
 
     /**
      * Bits of an offer's number below those of the time in ms: a life that makes fewer offers per
@@ -33,12 +33,12 @@
     private static final int OFFERS_PER_MS_BITS = 20;
 
     private final HeartbeatPace mPace;
-    private final Map<String, Waiting> mWaiting = new HashMap<>();
-    private final Map<Long, String> mJobs = new HashMap<>();
-    private final RecentJobs<HandOver> mHandedOver = new RecentJobs<>();
+    private final Map<String, PendingJob> mPending = new HashMap<>();
+    private final Map<Long, String> mJobByTicket = new HashMap<>();
+    private final RecentJobs<OfferHistory> mOfferHistories = new RecentJobs<>();
     private String mController = "";
     private long mFence;
-    private long mHeardMs;
+    private long mLastHeardMs;
     private boolean mDraining;
 
     /**
@@ -47,12 +47,12 @@
      * clock was set back meanwhile by more than the VM was down, the controller takes new offers of
      * a job that it refused before for late ones, for as long as it remembers the refusal.
      */
-    private long mNextOffer;
+    private long mNextOfferNumber;
 
     private long mNowMs;
     private List<EntryAction> mActions;
 
-    private record Caller(long ticket, long arrivedMs, long giveUpMs) {}
+    private record Caller(long ticket, long arrivedMs, long deadlineMs) {}
 
     /**
      * What became of a job so far.
@@ -60,11 +60,11 @@
      * @param controllers to how many controllers it has been offered
      * @param fence fencing token of the last of them
      */
-    private record HandOver(int controllers, long fence) {
-        static final HandOver NONE = new HandOver(0, 0);
+    private record OfferHistory(int controllers, long fence) {
+        static final OfferHistory NONE = new OfferHistory(0, 0);
 
-        HandOver to(long newFence) {
-            return newFence == fence ? this : new HandOver(controllers + 1, newFence);
+        OfferHistory withOfferTo(long newFence) {
+            return newFence == fence ? this : new OfferHistory(controllers + 1, newFence);
         }
 
         /** Answer to a caller whose job isn't handed over now, nor will be. */
@@ -75,26 +75,26 @@
         }
     }
 
-    private static final class Waiting {
+    private static final class PendingJob {
         private final JobRequest mRequest;
         private final List<Caller> mCallers = new ArrayList<>();
-        private HandOver mHandOver;
-        private long mOffer;
-        private long mOfferedMs;
+        private OfferHistory mOfferHistory;
+        private long mOfferNumber;
+        private long mLastOfferMs;
 
-        private Waiting(JobRequest request, HandOver before) {
+        private PendingJob(JobRequest request, OfferHistory before) {
             mRequest = request;
-            mHandOver = before;
+            mOfferHistory = before;
         }
 
         /** True when it was offered since it waits. */
         private boolean offered() {
-            return mOffer > 0;
+            return mOfferNumber > 0;
         }
 
         /** When the last of its callers gives up. */
-        private long giveUpMs() {
-            return mCallers.stream().mapToLong(Caller::giveUpMs).max().orElse(0);
+        private long deadlineMs() {
+            return mCallers.stream().mapToLong(Caller::deadlineMs).max().orElse(0);
         }
 
         private long arrivedMs() {
@@ -102,9 +102,9 @@
         }
     }
 
-    private EntryDesk(HeartbeatPace pace, ClockReading began) {
+    private PendingJobs(HeartbeatPace pace, ClockReading began) {
         mPace = pace;
-        mNextOffer = (began.wallMs() << OFFERS_PER_MS_BITS) + 1;
+        mNextOfferNumber = (began.wallMs() << OFFERS_PER_MS_BITS) + 1;
     }
 
     /**
@@ -112,8 +112,8 @@
      *
      * @param began when this process began
      */
-    static EntryDesk create(HeartbeatPace pace, ClockReading began) {
-        return new EntryDesk(pace, began);
+    static PendingJobs create(HeartbeatPace pace, ClockReading began) {
+        return new PendingJobs(pace, began);
     }
 
     /**
@@ -122,19 +122,19 @@
      * can't be refused as not run any more, and ends in doubt when its time is over.
      */
     public Optional<String> controller(long nowMs) {
-        boolean silent = mController.isEmpty() || nowMs - mHeardMs > mPace.silentMs();
+        boolean silent = mController.isEmpty() || nowMs - mLastHeardMs > mPace.silentMs();
         return silent ? Optional.empty() : Optional.of(mController);
     }
 
     /** When a controller was last heard of; empty when none ever was. */
-    Optional<Long> heardMs() {
-        return mFence == 0 ? Optional.empty() : Optional.of(mHeardMs);
+    Optional<Long> lastHeardMs() {
+        return mFence == 0 ? Optional.empty() : Optional.of(mLastHeardMs);
     }
 
     /** This VM was held up, so that it could not hear the controller meanwhile. */
-    void heldUp(long forMs, long nowMs) {
+    void compensateForStall(long forMs, long nowMs) {
         if (!mController.isEmpty()) {
-            mHeardMs = Math.min(nowMs, mHeardMs + forMs);
+            mLastHeardMs = Math.min(nowMs, mLastHeardMs + forMs);
         }
     }
 
@@ -144,8 +144,8 @@
     }
 
     /** How many callers wait. */
-    public int waiting() {
-        return mJobs.size();
+    public int waitingCallers() {
+        return mJobByTicket.size();
     }
 
     /** Handles an event; what is to be done is added to {@code actions}. */
@@ -157,7 +157,7 @@
         } else if (event instanceof EntryEvent.CallerLeft left) {
             callerLeft(left.ticket());
         } else if (event instanceof EntryEvent.ControllerHeard heard) {
-            heard(heard);
+            controllerHeard(heard);
         } else if (event instanceof EntryEvent.ControllerLeft left) {
             controllerLeft(left.fence());
         } else if (event instanceof EntryEvent.Decided decided) {
@@ -173,56 +173,56 @@
         String id = event.request().id();
         Caller caller = new Caller(event.ticket(), mNowMs, mNowMs + event.budgetMs());
         if (mDraining) {
-            reply(caller, id, handedOver(id).refusal("this VM is stopping"));
+            reply(caller, id, offerHistory(id).refusal("this VM is stopping"));
             return;
         }
-        mJobs.put(event.ticket(), id);
-        Waiting waiting = mWaiting.get(id);
+        mJobByTicket.put(event.ticket(), id);
+        PendingJob waiting = mPending.get(id);
         if (waiting != null) {
             waiting.mCallers.add(caller);
             return;
         }
-        waiting = new Waiting(event.request(), handedOver(id));
+        waiting = new PendingJob(event.request(), offerHistory(id));
         waiting.mCallers.add(caller);
-        mWaiting.put(id, waiting);
+        mPending.put(id, waiting);
         if (controller(mNowMs).isPresent()) {
             offer(waiting);
         }
     }
 
-    private HandOver handedOver(String job) {
-        return mHandedOver.find(job, mNowMs).orElse(HandOver.NONE);
+    private OfferHistory offerHistory(String job) {
+        return mOfferHistories.find(job, mNowMs).orElse(OfferHistory.NONE);
     }
 
-    private void offer(Waiting waiting) {
-        waiting.mHandOver = waiting.mHandOver.to(mFence);
-        mHandedOver.note(waiting.mRequest.id(), waiting.mHandOver, mNowMs);
-        waiting.mOfferedMs = mNowMs;
-        waiting.mOffer = mNextOffer++;
+    private void offer(PendingJob waiting) {
+        waiting.mOfferHistory = waiting.mOfferHistory.withOfferTo(mFence);
+        mOfferHistories.remember(waiting.mRequest.id(), waiting.mOfferHistory, mNowMs);
+        waiting.mLastOfferMs = mNowMs;
+        waiting.mOfferNumber = mNextOfferNumber++;
         long arrivedMs = waiting.arrivedMs();
         CellMessage message =
                 new CellMessage.Offer(
                         mFence,
                         waiting.mRequest,
                         mNowMs - arrivedMs,
-                        waiting.giveUpMs() - arrivedMs,
-                        waiting.mHandOver.controllers(),
-                        waiting.mOffer);
-        mActions.add(new EntryAction.Tell(mController, message));
+                        waiting.deadlineMs() - arrivedMs,
+                        waiting.mOfferHistory.controllers(),
+                        waiting.mOfferNumber);
+        mActions.add(new EntryAction.Send(mController, message));
     }
 
     private void reply(Caller caller, String job, Verdict verdict) {
-        mJobs.remove(caller.ticket());
+        mJobByTicket.remove(caller.ticket());
         long waitedMs = mNowMs - caller.arrivedMs();
         mActions.add(new EntryAction.Reply(caller.ticket(), job, verdict, waitedMs));
     }
 
     private void callerLeft(long ticket) {
-        String id = mJobs.remove(ticket);
+        String id = mJobByTicket.remove(ticket);
         if (id == null) {
             return;
         }
-        Waiting waiting = mWaiting.get(id);
+        PendingJob waiting = mPending.get(id);
         waiting.mCallers.removeIf(caller -> caller.ticket() == ticket);
         if (waiting.mCallers.isEmpty()) {
             withdraw(id, "caller left");
@@ -230,17 +230,17 @@
     }
 
     private void withdraw(String id, String cause) {
-        Waiting waiting = mWaiting.remove(id);
+        PendingJob waiting = mPending.remove(id);
         if (waiting.offered() && !mController.isEmpty()) {
-            mActions.add(new EntryAction.Tell(mController, new CellMessage.Withdraw(id)));
+            mActions.add(new EntryAction.Send(mController, new CellMessage.Withdraw(id)));
         }
-        int controllers = waiting.mHandOver.controllers();
+        int controllers = waiting.mOfferHistory.controllers();
         mActions.add(
                 new EntryAction.Log(
                         Decision.job("withdraw", id, "controllers=" + controllers, cause)));
     }
 
-    private void heard(EntryEvent.ControllerHeard heard) {
+    private void controllerHeard(EntryEvent.ControllerHeard heard) {
         if (heard.fence() < mFence) {
             return;
         }
@@ -248,34 +248,34 @@
         boolean back = controller(mNowMs).isEmpty();
         mController = heard.address();
         mFence = heard.fence();
-        mHeardMs = mNowMs;
+        mLastHeardMs = mNowMs;
         if (another) {
             String inputs = "fence=" + mFence + " address=" + mController;
             mActions.add(
                     new EntryAction.Log(
                             Decision.self(
-                                    "controller", inputs, mWaiting.size() + " jobs offered")));
+                                    "controller", inputs, mPending.size() + " jobs offered")));
         }
         if (another || back) {
-            mWaiting.values().forEach(this::offer);
+            mPending.values().forEach(this::offer);
         }
     }
 
     private void controllerLeft(long fence) {
         if (fence == mFence) {
             mController = "";
-            mHeardMs = mNowMs - mPace.silentMs();
+            mLastHeardMs = mNowMs - mPace.silentMs();
         }
     }
 
     private void decided(EntryEvent.Decided event) {
-        Waiting waiting = mWaiting.get(event.job());
-        if (waiting == null || outdated(waiting, event)) {
+        PendingJob waiting = mPending.get(event.job());
+        if (waiting == null || isOutdated(waiting, event)) {
             return;
         }
-        mWaiting.remove(event.job());
+        mPending.remove(event.job());
         if (event.verdict() instanceof Verdict.Declined) {
-            mHandedOver.forget(event.job());
+            mOfferHistories.forget(event.job());
         }
         for (Caller caller : waiting.mCallers) {
             reply(caller, event.job(), event.verdict());
@@ -287,33 +287,33 @@
      * job; the job was offered again meanwhile, and the next controller has started it. Told to the
      * caller, the late refusal would deny work that runs. Only the answer to the last offer counts.
      */
-    private static boolean outdated(Waiting waiting, EntryEvent.Decided event) {
+    private static boolean isOutdated(PendingJob waiting, EntryEvent.Decided event) {
         boolean ended =
                 event.verdict() instanceof Verdict.Completed
                         || event.verdict() instanceof Verdict.Failed;
-        return !ended && event.number() != waiting.mOffer;
+        return !ended && event.number() != waiting.mOfferNumber;
     }
 
     private void tick() {
         boolean known = controller(mNowMs).isPresent();
-        for (Waiting waiting : new ArrayList<>(mWaiting.values())) {
-            giveUp(waiting);
+        for (PendingJob waiting : new ArrayList<>(mPending.values())) {
+            answerExpired(waiting);
             if (waiting.mCallers.isEmpty()) {
                 withdraw(waiting.mRequest.id(), "time is over");
-            } else if (known && mNowMs - waiting.mOfferedMs > OFFER_AGAIN_MS) {
+            } else if (known && mNowMs - waiting.mLastOfferMs > REOFFER_AFTER_MS) {
                 offer(waiting);
             }
         }
     }
 
     /** Answers the callers of this job whose time is over, or whom nobody can serve. */
-    private void giveUp(Waiting waiting) {
+    private void answerExpired(PendingJob waiting) {
         String id = waiting.mRequest.id();
         for (Caller caller : List.copyOf(waiting.mCallers)) {
-            if (!waiting.offered() && mNowMs - caller.arrivedMs() > HAND_OVER_MS) {
+            if (!waiting.offered() && mNowMs - caller.arrivedMs() > CONTROLLER_WAIT_MS) {
                 waiting.mCallers.remove(caller);
-                reply(caller, id, waiting.mHandOver.refusal("no controller is known"));
-            } else if (mNowMs >= caller.giveUpMs()) {
+                reply(caller, id, waiting.mOfferHistory.refusal("no controller is known"));
+            } else if (mNowMs >= caller.deadlineMs()) {
                 waiting.mCallers.remove(caller);
                 reply(caller, id, new Verdict.InDoubt("no verdict in time"));
             }
--- a/core/src/main/java/org/boragegap/core/cell/Placement.java
+++ b/core/src/main/java/org/boragegap/core/cell/Placement.java
@@ -53,8 +53,8 @@
         if (!serves(task.job().request(), step, target.info()) || !keepsApart(task, target)) {
             return false;
         }
-        return step.mostPerTarget() == 0
-                || target.runsOf(task.name().job(), task.name().step()) < step.mostPerTarget();
+        return step.maxPerTarget() == 0
+                || target.runsOf(task.name().job(), task.name().step()) < step.maxPerTarget();
     }
 
     /**
@@ -73,8 +73,8 @@
 
     private double speed(StepRequest step, Target target) {
         boolean far =
-                step.nearRack().isPresent()
-                        && !target.info().labels().contains(step.nearRack().get());
+                step.preferredRack().isPresent()
+                        && !target.info().labels().contains(step.preferredRack().get());
         return far ? target.speed() / mFarFactor : target.speed();
     }
 
@@ -100,6 +100,6 @@
 
     /** True when a target is free for a task of this job's first step. */
     boolean roomFor(CellJob job) {
-        return job.ready().stream().findFirst().flatMap(this::choose).isPresent();
+        return job.readyTasks().stream().findFirst().flatMap(this::choose).isPresent();
     }
 }
--- a/core/src/main/java/org/boragegap/core/cell/Run.java
+++ b/core/src/main/java/org/boragegap/core/cell/Run.java
@@ -6,13 +6,13 @@
         /** The order to start is under way. */
         STARTING,
         /** The order got no answer: the target may carry it out at any time. */
-        UNSETTLED,
+        UNCONFIRMED,
         /** The target said that it runs. */
         RUNNING
     }
 
     /** The pause before a stop is sent again doubles this often at most. */
-    private static final int MOST_STOP_DOUBLINGS = 3;
+    private static final int MAX_STOP_DOUBLINGS = 3;
 
     private final CellTask mTask;
     private final int mNumber;
@@ -20,9 +20,9 @@
     private final long mOrderedMs;
     private State mState;
     private long mConfirmedMs;
-    private long mLostTrackMs;
+    private long mUnconfirmedSinceMs;
     private int mPercent;
-    private long mReportedMs;
+    private long mLastReportedMs;
     private int mStopsSent;
     private long mStopSentMs;
     private boolean mStopAcknowledged;
@@ -65,15 +65,15 @@
         return mPercent;
     }
 
-    void reported(int percent, long nowMs) {
+    void updateProgress(int percent, long nowMs) {
         confirm(nowMs);
         mPercent = percent;
-        mReportedMs = nowMs;
+        mLastReportedMs = nowMs;
     }
 
     /** When a report last listed it at work; 0 for never. */
-    long reportedMs() {
-        return mReportedMs;
+    long lastReportedMs() {
+        return mLastReportedMs;
     }
 
     void confirm(long nowMs) {
@@ -83,36 +83,38 @@
         }
     }
 
-    void loseTrack(long nowMs) {
+    void markUnconfirmed(long nowMs) {
         if (mState == State.STARTING) {
-            mState = State.UNSETTLED;
-            mLostTrackMs = nowMs;
+            mState = State.UNCONFIRMED;
+            mUnconfirmedSinceMs = nowMs;
         }
     }
 
     /** True when only a report asked for from now on can tell what became of it. */
     boolean awaitsReport() {
-        return mState == State.UNSETTLED && (!stopAsked() || mStopAcknowledged);
+        return mState == State.UNCONFIRMED && (!stopRequested() || mStopAcknowledged);
     }
 
     /** True when a report asked for at {@code sentMs} was asked for after the order failed. */
-    boolean unsettledBefore(long sentMs) {
-        return mState == State.UNSETTLED && mLostTrackMs <= sentMs;
+    boolean unconfirmedBefore(long sentMs) {
+        return mState == State.UNCONFIRMED && mUnconfirmedSinceMs <= sentMs;
     }
 
-    void askStop(long nowMs) {
+    void requestStop(long nowMs) {
         mStopsSent++;
         mStopSentMs = nowMs;
     }
 
-    boolean stopAsked() {
+    boolean stopRequested() {
         return mStopsSent > 0;
     }
 
     /** True when a stop was asked for and not acknowledged in time; longer with each one sent. */
     boolean stopOverdue(long nowMs, long timeoutMs) {
-        int doublings = Math.min(mStopsSent - 1, MOST_STOP_DOUBLINGS);
-        return stopAsked() && !mStopAcknowledged && nowMs - mStopSentMs > timeoutMs << doublings;
+        int doublings = Math.min(mStopsSent - 1, MAX_STOP_DOUBLINGS);
+        return stopRequested()
+                && !mStopAcknowledged
+                && nowMs - mStopSentMs > timeoutMs << doublings;
     }
 
     /** True when the answer to the order to start is overdue. */
@@ -129,7 +131,7 @@
      * True when a report asked for at {@code sentMs} that doesn't list this run proves that it does
      * not run and never will: the target had confirmed it, or had promised to reject it, before.
      */
-    boolean absenceIsFinal(long sentMs) {
+    boolean absenceIsConclusive(long sentMs) {
         boolean confirmed = mState == State.RUNNING && mConfirmedMs < sentMs;
         boolean rejected = mStopAcknowledged && mStopAcknowledgedMs < sentMs;
         return confirmed || rejected;
--- a/core/src/main/java/org/boragegap/core/cell/RunTimes.java
+++ b/core/src/main/java/org/boragegap/core/cell/RunTimeEstimator.java
@@ -10,23 +10,23 @@
  * relates to the estimate. The expectation is their geometric mean: the estimate tells tasks of one
  * queue apart, the mean corrects what the estimate gets wrong.
  */
-final class RunTimes {
+final class RunTimeEstimator {
     /** Weight of a new sample: about the last fifty tasks decide. */
-    private static final double WEIGHT = 0.02;
+    private static final double SAMPLE_WEIGHT = 0.02;
 
     /** Samples before the learned values count. */
-    private static final int ENOUGH = 10;
+    private static final int MIN_SAMPLES = 10;
 
     /** Assumed for a task without an estimate of a queue not seen yet, in ms. */
-    private static final double UNKNOWN_MS = 200;
+    private static final double DEFAULT_MS = 200;
 
-    private static final class Seen {
+    private static final class QueueStats {
         private double mMeanMs;
         private double mRatio = 1.0;
         private int mCount;
 
         void add(double tookMs, double estimateMs) {
-            double weight = Math.max(WEIGHT, 1.0 / ++mCount);
+            double weight = Math.max(SAMPLE_WEIGHT, 1.0 / ++mCount);
             mMeanMs += weight * (tookMs - mMeanMs);
             if (estimateMs > 0) {
                 mRatio += weight * (tookMs / estimateMs - mRatio);
@@ -34,19 +34,19 @@
         }
     }
 
-    private final Map<String, Seen> mQueues = new HashMap<>();
+    private final Map<String, QueueStats> mQueues = new HashMap<>();
 
     /** Takes a finished run. */
     void add(String queue, StepRequest step, double tookMs) {
-        mQueues.computeIfAbsent(queue, name -> new Seen()).add(tookMs, step.estimateMs());
+        mQueues.computeIfAbsent(queue, name -> new QueueStats()).add(tookMs, step.estimateMs());
     }
 
     /** Expected run time on a target of middling speed, in ms. */
     double expectedMs(String queue, StepRequest step) {
-        Seen seen = mQueues.get(queue);
-        boolean known = seen != null && seen.mCount >= ENOUGH;
+        QueueStats seen = mQueues.get(queue);
+        boolean known = seen != null && seen.mCount >= MIN_SAMPLES;
         if (step.estimateMs() <= 0) {
-            return known ? seen.mMeanMs : UNKNOWN_MS;
+            return known ? seen.mMeanMs : DEFAULT_MS;
         }
         if (!known) {
             return step.estimateMs();
--- a/core/src/main/java/org/boragegap/core/cell/RunLedger.java
+++ b/core/src/main/java/org/boragegap/core/cell/RunTracker.java
@@ -15,13 +15,13 @@
  * until that is ruled out: the target is asked at once; what it doesn't list is stopped, so that it
  * rejects that run from then on; or its lease is over.
  */
-final class RunLedger {
+final class RunTracker {
     /**
      * How long a target to which nothing could be sent is given no work, in ms; some round trips.
      * It doesn't count as the target's failure: sound targets would be out of use for seconds after
      * a cut had healed.
      */
-    private static final long UNREACHABLE_MS = 100;
+    private static final long UNREACHABLE_BACKOFF_MS = 100;
 
     /**
      * How long runs whose job nobody has offered are left alone, in ms. Entry VMs offer again as
@@ -30,31 +30,31 @@
     private static final long FOREIGN_GRACE_MS = 600;
 
     /** Ends of jobs that nobody has offered are kept up to this number; a few seconds' worth. */
-    private static final int MOST_FOREIGN_DONE = 5_000;
+    private static final int MAX_FOREIGN_DONE = 5_000;
 
     /** An end is worth a line when its run took this many times as long as expected. */
-    private static final double NOTABLE_FACTOR = 1.5;
+    private static final double SLOW_RUN_LOG_FACTOR = 1.5;
 
     /** Run numbers passed over when a target says that it has seen a higher one. */
-    private static final int RUNS_TO_SKIP = 3;
+    private static final int RUN_NUMBERS_TO_SKIP = 3;
 
     private final Term mTerm;
-    private final RunTimes mTimes;
+    private final RunTimeEstimator mRunTimes;
     private final TargetHealth mHealth;
     private final Set<TaskName> mForeignDone = new LinkedHashSet<>();
-    private JobBook mJobs;
+    private JobLifecycle mJobs;
     private LeaseKeeper mLeases;
     private final CrashWatch mCrashes;
 
-    RunLedger(Term term, RunTimes times, CrashWatch crashes) {
+    RunTracker(Term term, RunTimeEstimator times, CrashWatch crashes) {
         mTerm = term;
-        mTimes = times;
+        mRunTimes = times;
         mCrashes = crashes;
         mHealth = new TargetHealth(term, times);
     }
 
     /** Connects what depends on each other; to be called once, before use. */
-    void connect(JobBook jobs, LeaseKeeper leases) {
+    void connect(JobLifecycle jobs, LeaseKeeper leases) {
         mJobs = jobs;
         mLeases = leases;
     }
@@ -63,11 +63,11 @@
     Run start(CellTask task, Target target) {
         int number = task.takeRunNumber();
         Run run = new Run(task, number, target, mTerm.nowMs(), Run.State.STARTING);
-        task.began(run);
+        task.assignRun(run);
         target.add(run);
-        task.job().startSent();
+        task.job().markMayHaveStarted();
         mTerm.noteStarted(task.job().id());
-        mTerm.act(orderFor(run, target));
+        mTerm.act(startOrder(run, target));
         return run;
     }
 
@@ -90,7 +90,7 @@
         mTerm.log(Decision.job("start", job.id(), inputs.toString().trim(), outcome));
     }
 
-    private CellAction.StartRun orderFor(Run run, Target target) {
+    private CellAction.StartRun startOrder(Run run, Target target) {
         long untilMs = target.leaseUntil(mTerm.nowMs(), LeaseKeeper.LEASE_MS, mTerm.actsUntilMs());
         target.leaseSent(untilMs);
         CellTask task = run.task();
@@ -112,49 +112,50 @@
             mLeases.heardOf(target);
         }
         if (event.fence() == mTerm.fence()) {
-            target.run(event.task(), event.run()).ifPresent(run -> answered(run, event.result()));
+            target.run(event.task(), event.run())
+                    .ifPresent(run -> handleStartResult(run, event.result()));
         }
         if (event.result() == OrderResult.OTHER_INCARNATION) {
             mLeases.replaced(target);
         }
     }
 
-    private void answered(Run run, OrderResult result) {
+    private void handleStartResult(Run run, OrderResult result) {
         if (result == OrderResult.DONE) {
             run.target().roundTrips().add(mTerm.nowMs() - run.orderedMs());
         }
-        settle(run, result);
+        applyStartResult(run, result);
     }
 
-    private void settle(Run run, OrderResult result) {
+    private void applyStartResult(Run run, OrderResult result) {
         switch (result) {
             case DONE -> run.confirm(mTerm.nowMs());
-            case UNKNOWN -> lostTrack(run);
+            case UNKNOWN -> startUnanswered(run);
             case FENCED -> mTerm.act(new CellAction.Deposed());
-            case NOT_SENT, OLD_RUN, NOT_RUN, NO_ROOM, OTHER_INCARNATION -> notRun(run, result);
+            case NOT_SENT, OLD_RUN, NOT_RUN, NO_ROOM, OTHER_INCARNATION -> startFailed(run, result);
             default -> throw new IllegalArgumentException("no such result: " + result);
         }
     }
 
     /** The order got no answer: the target is asked whether it runs. */
-    private void lostTrack(Run run) {
+    private void startUnanswered(Run run) {
         if (run.state() == Run.State.STARTING) {
-            run.loseTrack(mTerm.nowMs());
+            run.markUnconfirmed(mTerm.nowMs());
             run.target().calls().orderOverdue();
             mLeases.lookAgain(run.target());
         }
     }
 
-    private void notRun(Run run, OrderResult result) {
+    private void startFailed(Run run, OrderResult result) {
         if (run.state() == Run.State.RUNNING) {
             return;
         }
         release(run, "start " + result);
         if (result == OrderResult.OLD_RUN) {
-            run.task().skipRunsUpTo(run.number() + RUNS_TO_SKIP);
+            run.task().skipRunsUpTo(run.number() + RUN_NUMBERS_TO_SKIP);
         }
         if (result == OrderResult.NOT_SENT) {
-            run.target().unreachable(mTerm.nowMs() + UNREACHABLE_MS);
+            run.target().unreachable(mTerm.nowMs() + UNREACHABLE_BACKOFF_MS);
         }
         if (result == OrderResult.NOT_RUN || result == OrderResult.NO_ROOM) {
             mHealth.trouble(run.target());
@@ -165,7 +166,7 @@
     private void release(Run run, String cause) {
         run.target().remove(run);
         if (run.task().run().filter(current -> current == run).isPresent()) {
-            run.task().released();
+            run.task().clearRun();
             requeue(run.task());
         }
         mTerm.log(
@@ -185,7 +186,7 @@
     }
 
     void stop(Run run) {
-        run.askStop(mTerm.nowMs());
+        run.requestStop(mTerm.nowMs());
         mTerm.act(
                 new CellAction.StopRun(
                         run.target().info(), run.task().name(), run.number(), mTerm.fence()));
@@ -202,7 +203,7 @@
 
     private void stopAcknowledged(Run run) {
         run.stopAcknowledged(mTerm.nowMs());
-        if (run.state() == Run.State.UNSETTLED) {
+        if (run.state() == Run.State.UNCONFIRMED) {
             // Only a report that is asked for now can show that its room is free.
             mLeases.lookAgain(run.target());
         }
@@ -239,9 +240,9 @@
             if (listed.containsKey(run.task().name())) {
                 continue;
             }
-            if (run.absenceIsFinal(sentMs)) {
+            if (run.absenceIsConclusive(sentMs)) {
                 release(run, "not there");
-            } else if (run.unsettledBefore(sentMs) && !run.stopAsked()) {
+            } else if (run.unconfirmedBefore(sentMs) && !run.stopRequested()) {
                 stop(run);
             }
         }
@@ -251,7 +252,7 @@
         mTerm.sawRuns();
         Run run = target.run(row.task(), row.run()).orElse(null);
         if (run != null) {
-            run.reported(row.percent(), mTerm.nowMs());
+            run.updateProgress(row.percent(), mTerm.nowMs());
             return;
         }
         mTerm.noteStarted(row.task().job());
@@ -267,7 +268,7 @@
         Run run = target.run(row.task(), row.run()).orElse(null);
         if (run == null) {
             target.foreign().remove(new Target.ForeignRun(row.task(), row.run()));
-            foreignEnd(row);
+            foreignEnded(row);
             return;
         }
         target.remove(run);
@@ -278,12 +279,12 @@
         logEnd(run, row.cause());
         if (row.cause().done()) {
             if (exact) {
-                learn(run);
+                recordRunTime(run);
             }
             target.sound();
         }
         if (current && wanted) {
-            conclude(task, row.cause());
+            applyEnd(task, row.cause());
         }
         if (row.cause().countsAsAttempt()) {
             mHealth.trouble(target);
@@ -297,7 +298,7 @@
     private void logEnd(Run run, EndCause cause) {
         long tookMs = mTerm.nowMs() - run.confirmedMs();
         long expectedMs = mHealth.expectedMs(run);
-        if (cause.done() && tookMs <= NOTABLE_FACTOR * expectedMs) {
+        if (cause.done() && tookMs <= SLOW_RUN_LOG_FACTOR * expectedMs) {
             return;
         }
         mTerm.log(
@@ -309,7 +310,7 @@
                         cause.name()));
     }
 
-    private void conclude(CellTask task, EndCause cause) {
+    private void applyEnd(CellTask task, EndCause cause) {
         CellJob job = task.job();
         if (cause.done()) {
             if (job.finish(task)) {
@@ -319,7 +320,7 @@
             }
             return;
         }
-        task.released();
+        task.clearRun();
         if (cause.countsAsAttempt()
                 && task.countFailure() >= Math.max(1, job.request().maxAttempts())) {
             mJobs.end(job, new Verdict.Failed("task " + task.name().index() + " failed too often"));
@@ -328,33 +329,33 @@
         requeue(task);
     }
 
-    private void foreignEnd(TargetReport.EndedRow row) {
+    private void foreignEnded(TargetReport.EndedRow row) {
         mTerm.noteStarted(row.task().job());
         if (row.cause().done()) {
             rememberDone(row.task());
         }
         CellJob job = mTerm.jobs().get(row.task().job());
-        if (job != null && creditDone(job)) {
+        if (job != null && markKnownDone(job)) {
             mJobs.end(job, new Verdict.Completed());
         }
     }
 
     private void rememberDone(TaskName task) {
         mForeignDone.add(task);
-        if (mForeignDone.size() > MOST_FOREIGN_DONE) {
+        if (mForeignDone.size() > MAX_FOREIGN_DONE) {
             Iterator<TaskName> oldest = mForeignDone.iterator();
             oldest.next();
             oldest.remove();
         }
     }
 
-    private void learn(Run run) {
+    private void recordRunTime(Run run) {
         StepRequest step = run.task().step();
         String queue = run.task().job().request().queue();
         double tookMs = mTerm.nowMs() - run.confirmedMs();
-        double expectedMs = mTimes.expectedMs(queue, step);
+        double expectedMs = mRunTimes.expectedMs(queue, step);
         run.target().sample(expectedMs, tookMs);
-        mTimes.add(queue, step, tookMs);
+        mRunTimes.add(queue, step, tookMs);
     }
 
     /** Takes over what already runs of a job that was just taken on. */
@@ -372,20 +373,20 @@
      * Credits the job with what targets have reported as done; true when that was all of it. The
      * ends stay known: the job may be refused now, and be offered again.
      */
-    boolean creditDone(CellJob job) {
+    boolean markKnownDone(CellJob job) {
         boolean all = false;
         for (CellTask task : job.tasks()) {
             if (!task.done() && mForeignDone.contains(task.name())) {
-                all = creditDone(task);
+                all = markKnownDone(task);
             }
         }
         return all;
     }
 
     /** The run that ended may have been taken for lost, so that the task runs again by now. */
-    private boolean creditDone(CellTask task) {
+    private boolean markKnownDone(CellTask task) {
         task.run().ifPresent(this::stop);
-        task.job().startSent();
+        task.job().markMayHaveStarted();
         boolean all = task.job().finish(task);
         requeue(task);
         return all;
@@ -397,8 +398,8 @@
             return;
         }
         Run run = new Run(task, foreign.run(), target, mTerm.nowMs(), Run.State.RUNNING);
-        task.began(run);
-        job.startSent();
+        task.assignRun(run);
+        job.markMayHaveStarted();
         target.foreign().remove(foreign);
         target.add(run);
         mTerm.log(
@@ -406,7 +407,7 @@
     }
 
     /** Everything on the target has surely ended: its lease is over, or its incarnation is gone. */
-    void allOver(Target target, String cause) {
+    void releaseAll(Target target, String cause) {
         for (Run run : new ArrayList<>(target.runs().values())) {
             release(run, cause);
         }
@@ -416,29 +417,29 @@
     void tick() {
         for (Target target : mTerm.targets().values()) {
             for (Run run : new ArrayList<>(target.runs().values())) {
-                watch(run);
+                checkRun(run);
             }
             stopForeign(target);
         }
     }
 
-    private void watch(Run run) {
+    private void checkRun(Run run) {
         long timeoutMs = run.target().roundTrips().timeoutMs();
         if (run.startOverdue(mTerm.nowMs(), timeoutMs)) {
-            lostTrack(run);
+            startUnanswered(run);
         } else if (run.target().calls().silent()) {
             return;
         } else if (run.stopOverdue(mTerm.nowMs(), timeoutMs)) {
             stop(run);
         } else if (run.awaitsReport()) {
             mLeases.look(run.target());
-        } else if (!run.stopAsked() && mHealth.isOverdue(run)) {
-            judge(run);
+        } else if (!run.stopRequested() && mHealth.isOverdue(run)) {
+            handleOverdue(run);
         }
     }
 
     /** The run takes far too long: is it stuck, or was its end not heard of? */
-    private void judge(Run run) {
+    private void handleOverdue(Run run) {
         if (!mHealth.isStuck(run)) {
             mLeases.look(run.target());
             return;
@@ -458,7 +459,7 @@
     }
 
     /** When the next run there is expected to end, on our clock; some time ago if it is late. */
-    long nextEndMs(Target target) {
+    long expectedNextEndMs(Target target) {
         long endMs = Long.MAX_VALUE;
         for (Run run : target.runs().values()) {
             endMs = Math.min(endMs, run.confirmedMs() + mHealth.expectedMs(run));
--- a/core/src/main/java/org/boragegap/core/cell/StepRequest.java
+++ b/core/src/main/java/org/boragegap/core/cell/StepRequest.java
@@ -13,8 +13,8 @@
  * @param estimateMs the caller's rough estimate of a task's run time, in ms; 0 for none
  * @param dependsOn positions of earlier steps that must be done first
  * @param requiredLabel label that the target must have
- * @param nearRack rack where the data is; tasks run longer elsewhere
- * @param mostPerTarget most tasks of the step on one target; 0 for no limit
+ * @param preferredRack rack where the data is; tasks run longer elsewhere
+ * @param maxPerTarget most tasks of the step on one target; 0 for no limit
  */
 public record StepRequest(
         int count,
@@ -24,11 +24,11 @@
         long estimateMs,
         List<Integer> dependsOn,
         Optional<String> requiredLabel,
-        Optional<String> nearRack,
-        int mostPerTarget) {
+        Optional<String> preferredRack,
+        int maxPerTarget) {
 
     /** A step that asks for nothing but processor time. */
-    public static StepRequest plain(int count, int cpuMillis, long estimateMs) {
+    public static StepRequest cpuOnly(int count, int cpuMillis, long estimateMs) {
         return new StepRequest(
                 count,
                 cpuMillis,
--- a/core/src/main/java/org/boragegap/core/cell/TargetHealth.java
+++ b/core/src/main/java/org/boragegap/core/cell/TargetHealth.java
@@ -22,9 +22,9 @@
     private static final double LEAST_SPEED = 0.2;
 
     private final Term mTerm;
-    private final RunTimes mTimes;
+    private final RunTimeEstimator mTimes;
 
-    TargetHealth(Term term, RunTimes times) {
+    TargetHealth(Term term, RunTimeEstimator times) {
         mTerm = term;
         mTimes = times;
     }
@@ -67,7 +67,7 @@
      * made after the run should have ended counts.
      */
     boolean isStuck(Run run) {
-        boolean seen = run.reportedMs() - run.confirmedMs() > stuckAfterMs(run);
+        boolean seen = run.lastReportedMs() - run.confirmedMs() > stuckAfterMs(run);
         return isOverdue(run) && seen && run.percent() < 50;
     }
 
--- a/core/src/main/java/org/boragegap/core/cell/TaskName.java
+++ b/core/src/main/java/org/boragegap/core/cell/TaskName.java
@@ -11,7 +11,7 @@
  * @param index position of the task in its step
  */
 public record TaskName(String job, int occurrence, int step, int index) {
-    private static final int PARTS = 4;
+    private static final int PART_COUNT = 4;
 
     /** The name as targets know it. */
     public String text() {
@@ -21,7 +21,7 @@
     /** Reads a name; empty when it isn't one. */
     public static Optional<TaskName> parse(String text) {
         String[] parts = text.split("\\.");
-        if (parts.length != PARTS) {
+        if (parts.length != PART_COUNT) {
             return Optional.empty();
         }
         try {
--- a/core/src/main/java/org/boragegap/core/cell/Term.java
+++ b/core/src/main/java/org/boragegap/core/cell/Term.java
@@ -136,7 +136,7 @@
 
     /** Something of the job has started, or may have. */
     void noteStarted(String job) {
-        mStarted.note(job, mFence, mNowMs);
+        mStarted.remember(job, mFence, mNowMs);
     }
 
     /** Fencing token of the last term that knew of a start of the job; empty for none lately. */
@@ -164,11 +164,11 @@
     void putLateBehind() {
         while (!mWaiting.isEmpty()) {
             CellJob first = mWaiting.first();
-            if (first.late() || first.latestStartMs() >= mNowMs || first.begun()) {
+            if (first.late() || first.latestStartMs() >= mNowMs || first.hasProgress()) {
                 return;
             }
             mWaiting.remove(first);
-            first.foundLate();
+            first.markLate();
             mWaiting.add(first);
         }
     }
--- a/core/src/test/java/org/boragegap/core/cell/CellControllerTest.java
+++ b/core/src/test/java/org/boragegap/core/cell/CellControllerTest.java
@@ -20,10 +20,10 @@
 
     private final CellController mController = CellController.create(new CellSettings(1_000, 2));
     private final List<CellAction> mActions = new ArrayList<>();
-    private long mOffer = 1;
+    private long mNextOfferNumber = 1;
 
     @BeforeEach
-    void operatorsWantNothingEmptied() {
+    void evacuateNothing() {
         on(0, new CellEvent.DomainsEvacuated(Set.of()));
     }
 
@@ -32,7 +32,7 @@
     }
 
     private void offer(long ms) {
-        StepRequest step = StepRequest.plain(1, 1_000, 100);
+        StepRequest step = StepRequest.cpuOnly(1, 1_000, 100);
         JobRequest request =
                 new JobRequest(JOB, "queue", "service", 0, 3, 1.6, 60, "", List.of(step), 1);
         on(ms, new CellEvent.Offered("vm1", request, 0, BUDGET_MS, 1, 1));
@@ -60,17 +60,20 @@
 
     /** The term has just begun: which targets there are isn't known yet. */
     @Test
-    void aJobThatComesBeforeTheListWaits() {
+    void aJobOfferedBeforeTheTargetListWaits() {
         on(0, new CellEvent.TermBegan(7, Optional.empty()));
         offer(10);
         assertThat(verdicts()).isEmpty();
     }
 
     private void offer(long ms, String id, long ageMs, int controllers) {
-        StepRequest step = StepRequest.plain(1, 1_000, 100);
+        StepRequest step = StepRequest.cpuOnly(1, 1_000, 100);
         JobRequest request =
                 new JobRequest(id, "queue", "service", 0, 3, 1.6, 60, "", List.of(step), 1);
-        on(ms, new CellEvent.Offered("vm1", request, ageMs, BUDGET_MS, controllers, mOffer++));
+        on(
+                ms,
+                new CellEvent.Offered(
+                        "vm1", request, ageMs, BUDGET_MS, controllers, mNextOfferNumber++));
     }
 
     private long lastCall() {
@@ -98,7 +101,7 @@
      * to be worth much; a caller who comes now must not wait behind it.
      */
     @Test
-    void whatIsTooLateAlreadyStartsAfterWhatCanBeInTime() {
+    void lateJobsStartAfterJobsThatCanMeetTheirObjective() {
         on(0, new CellEvent.TermBegan(7, Optional.of(List.of(TARGET))));
         offer(10, "00000000000000f1", 1_400, 2);
         offer(11, "00000000000000f2", 0, 1);
@@ -113,7 +116,7 @@
      * its term wasn't settled yet. Once no answer can be of use, the refusal is true and is told.
      */
     @Test
-    void aJobThatWaitedTooLongToBeOfUseIsRefusedBeforeItsTimeIsOver() {
+    void aJobThatWaitedTooLongIsRefusedBeforeItsTimeout() {
         on(0, new CellEvent.TermBegan(7, Optional.of(List.of(TARGET))));
         offer(10, "00000000000000f5", 0, 1);
         // Objective 1.6 * 100 + 60 = 220 ms; three times that less 100 ms of work is 560 ms.
@@ -138,23 +141,23 @@
 
     /** A term that ends before it could start anything leaves nothing to be asked for. */
     @Test
-    void aTermThatStartedAndSawNothingHasTouchedNothing() {
+    void aTermWithoutStartsOrReportedRunsHasAffectedNoTarget() {
         on(0, new CellEvent.TermBegan(7, Optional.of(List.of(TARGET))));
         targetReports(20);
-        assertThat(mController.hasTouchedNothing()).isTrue();
+        assertThat(mController.hasAffectedNoTarget()).isTrue();
         on(21, new CellEvent.PredecessorsKnown(true));
         offer(22, "00000000000000f3", 0, 1);
-        assertThat(mController.hasTouchedNothing()).isFalse();
+        assertThat(mController.hasAffectedNoTarget()).isFalse();
     }
 
     /** It may have extended the lease of an earlier controller's task. */
     @Test
-    void aTermThatSawARunHasTouchedSomething() {
+    void aTermWithAReportedRunHasAffectedATarget() {
         on(0, new CellEvent.TermBegan(7, Optional.of(List.of(TARGET))));
         TaskName task = new TaskName("00000000000000f4", 0, 0, 0);
         TargetReport report =
                 new TargetReport(20, List.of(new TargetReport.RunningRow(task, 1, 50)), List.of());
         on(20, new CellEvent.LeaseExtended("t", lastCall(), report));
-        assertThat(mController.hasTouchedNothing()).isFalse();
+        assertThat(mController.hasAffectedNoTarget()).isFalse();
     }
 }
--- a/core/src/test/java/org/boragegap/core/cell/CellHistory.java
+++ b/core/src/test/java/org/boragegap/core/cell/CellHistory.java
@@ -29,12 +29,12 @@
 
     private final SplittableRandom mRandom;
     private final Hops mHops;
-    private final CellOracle mOracle = new CellOracle();
+    private final InvariantChecker mOracle = new InvariantChecker();
     private final FakeGroup mGroup;
     private final List<FakeEntryVm> mVms = new ArrayList<>();
     private final SimulatedClock mClock = new SimulatedClock();
     private final FakePlatform mPlatform;
-    private final OrderWays mOrders;
+    private final OrderTransport mOrders;
     private long mNextTicket = 1;
     private final TermCount mTerms = new TermCount();
     private final Consumer<String> mTrace;
@@ -52,7 +52,7 @@
         mHops = new Hops(mRandom);
         mGroup = new FakeGroup(mRandom.split());
         mPlatform = new FakePlatform(mClock, mRandom, mOracle);
-        mOrders = new OrderWays(mClock, mRandom, mHops, mPercent, mPlatform, mOracle);
+        mOrders = new OrderTransport(mClock, mRandom, mHops, mPercent, mPlatform, mOracle);
         for (int i = 0; i < VMS; i++) {
             FakeEntryVm vm = new FakeEntryVm("vm" + i);
             mVms.add(vm);
@@ -163,13 +163,13 @@
     }
 
     private List<String> run() {
-        mClock.runUntil(LENGTH_MS, mOracle::at);
+        mClock.runUntil(LENGTH_MS, mOracle::setNow);
         mOracle.close();
-        return mOracle.broken();
+        return mOracle.violations();
     }
 
     int finished() {
-        return mOracle.finished();
+        return mOracle.completedJobs();
     }
 
     /** The terms that began. */
@@ -379,7 +379,7 @@
 
     private void submit(JobRequest request) {
         FakeEntryVm vm = mVms.get(mRandom.nextInt(VMS));
-        mOracle.handedIn(request.id());
+        mOracle.submitted(request.id());
         if (!vm.mAlive) {
             after(RESEND_MS, () -> submit(request));
             return;
--- a/core/src/test/java/org/boragegap/core/cell/CellMemberTest.java
+++ b/core/src/test/java/org/boragegap/core/cell/CellMemberTest.java
@@ -323,7 +323,7 @@
     @Nested
     final class Stopping {
         private void submit(long ms) {
-            StepRequest step = StepRequest.plain(1, 1_000, 100);
+            StepRequest step = StepRequest.cpuOnly(1, 1_000, 100);
             JobRequest request =
                     new JobRequest("00000000000000aa", "q", "s", 0, 3, 2, 60, "", List.of(step), 1);
             feed(ms, new MemberEvent.ForDesk(new EntryEvent.Submitted(1, request, 2_000)));
--- a/core/src/test/java/org/boragegap/core/cell/ChangingRoomTest.java
+++ b/core/src/test/java/org/boragegap/core/cell/ChangingRoomTest.java
@@ -57,7 +57,7 @@
     void whatIsBeingStoppedCounts() {
         begin();
         mCell.offer(10, JOB, 2);
-        mCell.starts().forEach(start -> mCell.take(12, start));
+        mCell.starts().forEach(start -> mCell.acceptStart(12, start));
         CellAction.StartRun first = mCell.starts().get(0);
         CellAction.StartRun second = mCell.starts().get(1);
         mCell.report(20, "t1", List.of(), List.of(end(1, first, EndCause.FAILED)));
@@ -88,7 +88,7 @@
     void aWaitingJobThatFitsNowhereAnyMoreIsRefusedAtOnce() {
         begin();
         mCell.offer(10, JOB, 1);
-        mCell.offer(11, OTHER_JOB, StepRequest.plain(1, 2_000, 100));
+        mCell.offer(11, OTHER_JOB, StepRequest.cpuOnly(1, 2_000, 100));
         assertThat(mCell.verdicts()).isEmpty();
         mCell.listed(20, withRoom(1_500));
         assertThat(mCell.verdicts()).hasSize(1);
--- a/core/src/test/java/org/boragegap/core/cell/CoincidentLossTest.java
+++ b/core/src/test/java/org/boragegap/core/cell/CoincidentLossTest.java
@@ -13,7 +13,7 @@
     private static final int TARGETS = 5;
 
     /** A task that takes more than half of a target. */
-    private static final StepRequest LARGE = StepRequest.plain(1, 1_500, 100);
+    private static final StepRequest LARGE = StepRequest.cpuOnly(1, 1_500, 100);
 
     /** By then the leases of silent targets are over. */
     private static final long LAPSED_MS = 6_000;
@@ -41,11 +41,11 @@
 
     /** All targets fall silent until they lapse; others are listed in their places. */
     private List<CrashEvidence> loseAll() {
-        mCell.starts().forEach(start -> mCell.take(12, start));
+        mCell.starts().forEach(start -> mCell.acceptStart(12, start));
         mCell.ticks(20, LAPSED_MS);
         mCell.listed(LAPSED_MS + 10, successors());
-        return mCell.actions(CellAction.TellCrash.class).stream()
-                .map(CellAction.TellCrash::evidence)
+        return mCell.actions(CellAction.BroadcastCrash.class).stream()
+                .map(CellAction.BroadcastCrash::evidence)
                 .toList();
     }
 
@@ -81,7 +81,7 @@
         /** Guards against a job being cleared since all its tasks crash their targets at once. */
         @Test
         void eachTaskIsSuspected() {
-            mCell.offer(10, job(0), StepRequest.plain(TARGETS, 1_500, 100));
+            mCell.offer(10, job(0), StepRequest.cpuOnly(TARGETS, 1_500, 100));
             List<CrashEvidence> evidence = loseAll();
             assertThat(evidence).hasSize(TARGETS);
             assertThat(evidence.stream().filter(CrashEvidence::suspicious).toList())
@@ -94,7 +94,7 @@
         private final TaskName mTask = new TaskName(job(0), 0, 0, 0);
 
         private void told(String target, CrashEvidence evidence) {
-            mCell.on(6, new CellEvent.CrashTold(mTask, target, evidence));
+            mCell.on(6, new CellEvent.CrashReported(mTask, target, evidence));
         }
 
         /** Guards against a job failed for two losses that it can't have been the cause of. */
--- a/core/src/test/java/org/boragegap/core/cell/CrashingTaskTest.java
+++ b/core/src/test/java/org/boragegap/core/cell/CrashingTaskTest.java
@@ -35,15 +35,15 @@
 
     private void startAndCrash(long ms) {
         CellAction.StartRun start = mCell.starts().get(mCell.starts().size() - 1);
-        mCell.take(ms, start);
-        mCell.reborn(ms + 10, start.target().id());
+        mCell.acceptStart(ms, start);
+        mCell.answerAsReplacement(ms + 10, start.target().id());
     }
 
     /** The job starts on a target that falls silent until the lease of its run is over. */
     private TargetInfo startAndLapse() {
         mCell.offer(10, JOB, 1);
         CellAction.StartRun start = mCell.starts().get(0);
-        mCell.take(12, start);
+        mCell.acceptStart(12, start);
         mCell.ticks(20, LAPSED_MS);
         return start.target();
     }
@@ -68,9 +68,9 @@
         mCell.offer(10, JOB, 1);
         startAndCrash(12);
         CellAction.StartRun notTaken = mCell.starts().get(1);
-        mCell.reborn(40, notTaken.target().id());
+        mCell.answerAsReplacement(40, notTaken.target().id());
         assertThat(mCell.verdicts()).isEmpty();
-        assertThat(mCell.actions(CellAction.TellCrash.class)).hasSize(1);
+        assertThat(mCell.actions(CellAction.BroadcastCrash.class)).hasSize(1);
     }
 
     /** The caller's connection broke, and it hands the job in again after a while. */
@@ -80,7 +80,7 @@
         startAndCrash(12);
         startAndCrash(40);
         mCell.ticks(15_000, 15_000);
-        mCell.forget();
+        mCell.clearActions();
         mCell.listed(15_010, FIRST_REBORN);
         mCell.offer(15_020, JOB, 1);
         assertThat(mCell.verdicts().get(0)).isInstanceOf(Verdict.InDoubt.class);
@@ -94,7 +94,7 @@
         mCell.offer(10, JOB, 1);
         String crashed = mCell.startedOn().get(0);
         startAndCrash(12);
-        assertThat(mCell.actions(CellAction.TellCrash.class))
+        assertThat(mCell.actions(CellAction.BroadcastCrash.class))
                 .containsExactly(crash(crashed, CrashEvidence.CONFIRMED));
         assertThat(mCell.verdicts().get(0)).isInstanceOf(Verdict.InDoubt.class);
     }
@@ -162,7 +162,7 @@
         for (long ms = 320; ms <= 40_000; ms += 10) {
             mCell.on(ms, new CellEvent.Ticked());
             for (; taken < mCell.starts().size(); taken++) {
-                mCell.take(ms, mCell.starts().get(taken));
+                mCell.acceptStart(ms, mCell.starts().get(taken));
             }
             if (ms % 100 == 0) {
                 for (TargetInfo target : targets) {
@@ -182,8 +182,8 @@
         mCell.offer(10, JOB, 1);
         CellAction.StartRun start = mCell.starts().get(0);
         mCell.unanswered(300, start);
-        mCell.reborn(800, start.target().id());
-        assertThat(mCell.actions(CellAction.TellCrash.class))
+        mCell.answerAsReplacement(800, start.target().id());
+        assertThat(mCell.actions(CellAction.BroadcastCrash.class))
                 .containsExactly(crash(start.target().id(), CrashEvidence.POSSIBLE));
     }
 
@@ -200,7 +200,7 @@
         mCell.report(LAPSED_MS + 100, again.target().id(), List.of(), List.of(done));
         told("c1", CrashEvidence.CONFIRMED);
         mCell.listed(LAPSED_MS + 400, again.target(), successorOf(lapsed.target()));
-        assertThat(mCell.actions(CellAction.TellCrash.class))
+        assertThat(mCell.actions(CellAction.BroadcastCrash.class))
                 .contains(crash(lapsed.target().id(), CrashEvidence.CONFIRMED));
         assertThat(mCell.verdicts()).isEmpty();
     }
@@ -212,7 +212,7 @@
         CellAction.StartRun again = mCell.starts().get(1);
         told("c1", CrashEvidence.CONFIRMED);
         mCell.listed(LAPSED_MS + 400, again.target(), successorOf(lapsed.target()));
-        assertThat(mCell.actions(CellAction.TellCrash.class))
+        assertThat(mCell.actions(CellAction.BroadcastCrash.class))
                 .containsExactly(crash(lapsed.target().id(), CrashEvidence.CONFIRMED));
         assertThat(mCell.verdicts()).isEmpty();
         assertThat(mCell.actions(CellAction.StopRun.class)).isEmpty();
@@ -247,12 +247,12 @@
         mCell.offer(10, JOB, tasks);
         CellAction.StartRun lapsed = mCell.starts().get(0);
         TargetInfo other = lapsed.target().equals(FIRST) ? SECOND : FIRST;
-        mCell.starts().forEach(start -> mCell.take(12, start));
+        mCell.starts().forEach(start -> mCell.acceptStart(12, start));
         int ordered = tasks;
         for (long ms = 20; ms <= LAPSED_MS; ms += 10) {
             mCell.on(ms, new CellEvent.Ticked());
             for (; ordered < mCell.starts().size(); ordered++) {
-                mCell.take(ms, mCell.starts().get(ordered));
+                mCell.acceptStart(ms, mCell.starts().get(ordered));
             }
             if (ms % 100 == 0) {
                 mCell.report(ms, other.id(), atWorkOn(other), List.of());
@@ -276,15 +276,15 @@
     void aLapseOfLongAgoIsNoCrash() {
         TargetInfo gone = startAndLapse();
         mCell.listed(FORGOTTEN_MS, successorOf(gone));
-        assertThat(mCell.actions(CellAction.TellCrash.class)).isEmpty();
+        assertThat(mCell.actions(CellAction.BroadcastCrash.class)).isEmpty();
     }
 
     private void told(String target, CrashEvidence evidence) {
-        mCell.on(5, new CellEvent.CrashTold(TASK, target, evidence));
+        mCell.on(5, new CellEvent.CrashReported(TASK, target, evidence));
     }
 
-    private static CellAction.TellCrash crash(String target, CrashEvidence evidence) {
-        return new CellAction.TellCrash(TASK, target, evidence);
+    private static CellAction.BroadcastCrash crash(String target, CrashEvidence evidence) {
+        return new CellAction.BroadcastCrash(TASK, target, evidence);
     }
 
     /** One that has crashed a target would take others' tasks with it if they ran beside it. */
@@ -305,7 +305,7 @@
         TargetInfo silent = startAndLapse();
         mCell.report(LAPSED_MS + 10, silent.id(), List.of(), List.of());
         mCell.listed(LAPSED_MS + 20, FIRST, SECOND, ScriptedCell.target("t9", "x:9", "a", 2_000));
-        assertThat(mCell.actions(CellAction.TellCrash.class)).isEmpty();
+        assertThat(mCell.actions(CellAction.BroadcastCrash.class)).isEmpty();
     }
 
     /** Its lease lapsed first; seconds later another incarnation is listed in its place. */
@@ -314,7 +314,7 @@
         TargetInfo gone = startAndLapse();
         TargetInfo reborn = ScriptedCell.target("t9", gone.address(), "a", 2_000);
         mCell.listed(LAPSED_MS + 10, reborn);
-        assertThat(mCell.actions(CellAction.TellCrash.class))
+        assertThat(mCell.actions(CellAction.BroadcastCrash.class))
                 .containsExactly(crash(gone.id(), CrashEvidence.CONFIRMED));
     }
 
@@ -324,8 +324,8 @@
         mCell.offer(10, JOB, 1);
         TargetInfo info = mCell.starts().get(0).target();
         mCell.listed(15, ScriptedCell.leaving(info));
-        mCell.reborn(20, info.id());
-        assertThat(mCell.actions(CellAction.TellCrash.class)).isEmpty();
+        mCell.answerAsReplacement(20, info.id());
+        assertThat(mCell.actions(CellAction.BroadcastCrash.class)).isEmpty();
     }
 
     /** Guards against a planned leave whose lease lapses first being counted as a crash. */
@@ -334,11 +334,11 @@
         mCell.offer(10, JOB, 1);
         CellAction.StartRun start = mCell.starts().get(0);
         TargetInfo info = start.target();
-        mCell.take(12, start);
+        mCell.acceptStart(12, start);
         mCell.listed(15, ScriptedCell.leaving(info));
         mCell.ticks(20, LAPSED_MS);
         mCell.listed(LAPSED_MS + 10, ScriptedCell.target("t9", info.address(), "a", 2_000));
-        assertThat(mCell.actions(CellAction.TellCrash.class)).isEmpty();
+        assertThat(mCell.actions(CellAction.BroadcastCrash.class)).isEmpty();
     }
 
     /** A crashed target is back at once as a sound one: the task was at fault, not the target. */
@@ -349,7 +349,7 @@
         startAndCrash(40);
         mCell.listed(60, FIRST_REBORN);
         mCell.report(70, "t3", List.of(), List.of());
-        mCell.forget();
+        mCell.clearActions();
         mCell.offer(300, OTHER_JOB, 2);
         assertThat(mCell.startedOn()).containsExactly("t3", "t3");
     }
--- a/core/src/test/java/org/boragegap/core/cell/EvacuationTest.java
+++ b/core/src/test/java/org/boragegap/core/cell/EvacuationTest.java
@@ -67,7 +67,7 @@
         mCell.begin(0, 7, IN_A);
         mCell.offer(10, JOB, 1);
         CellAction.StartRun start = mCell.starts().get(0);
-        mCell.take(12, start);
+        mCell.acceptStart(12, start);
         mCell.evacuate(20, "a");
         assertThat(mCell.actions(CellAction.StopRun.class)).isEmpty();
         TargetReport.EndedRow end =
--- a/core/src/test/java/org/boragegap/core/cell/FakeJobs.java
+++ b/core/src/test/java/org/boragegap/core/cell/FakeJobs.java
@@ -10,7 +10,7 @@
     static JobRequest request(SplittableRandom random, int number) {
         int tasks = 1 + random.nextInt(3);
         long estimateMs = 50 + random.nextInt(600);
-        StepRequest step = StepRequest.plain(tasks, FakePlatform.TASK_CPU, estimateMs);
+        StepRequest step = StepRequest.cpuOnly(tasks, FakePlatform.TASK_CPU, estimateMs);
         return new JobRequest(
                 String.format("%016x", number),
                 "queue" + estimateMs / 100,
--- a/core/src/test/java/org/boragegap/core/cell/FakePlatform.java
+++ b/core/src/test/java/org/boragegap/core/cell/FakePlatform.java
@@ -27,13 +27,13 @@
 
     private final SimulatedClock mClock;
     private final SplittableRandom mRandom;
-    private final CellOracle mOracle;
+    private final InvariantChecker mOracle;
     private final Map<String, FakeTarget> mTargets = new HashMap<>();
     private final Set<String> mUnlisted = new HashSet<>();
     private final Set<String> mEvacuated = new HashSet<>();
     private int mNextTarget = 1;
 
-    FakePlatform(SimulatedClock clock, SplittableRandom random, CellOracle oracle) {
+    FakePlatform(SimulatedClock clock, SplittableRandom random, InvariantChecker oracle) {
         mClock = clock;
         mRandom = random;
         mOracle = oracle;
@@ -140,7 +140,7 @@
                 forMs,
                 () -> {
                     mEvacuated.remove(domain);
-                    mOracle.takenBack(domain);
+                    mOracle.evacuationCancelled(domain);
                 });
     }
 }
--- a/core/src/test/java/org/boragegap/core/cell/FakeTarget.java
+++ b/core/src/test/java/org/boragegap/core/cell/FakeTarget.java
@@ -47,7 +47,7 @@
     private final List<EarlierRoom> mEarlierRooms = new ArrayList<>();
     private final double mClockRate;
     private final int mTaskCpu;
-    private final CellOracle mOracle;
+    private final InvariantChecker mOracle;
     private final Map<TaskName, Running> mRunning = new HashMap<>();
     private final Map<TaskName, Integer> mSeenRuns = new HashMap<>();
     private final List<TargetReport.EndedRow> mEnded = new ArrayList<>();
@@ -58,7 +58,7 @@
     private long mNowMs;
     private boolean mAlive = true;
 
-    FakeTarget(TargetInfo info, double clockRate, int taskCpu, CellOracle oracle) {
+    FakeTarget(TargetInfo info, double clockRate, int taskCpu, InvariantChecker oracle) {
         mInfo = info;
         mClockRate = clockRate;
         mTaskCpu = taskCpu;
@@ -72,7 +72,7 @@
             String domain,
             SplittableRandom random,
             int taskCpu,
-            CellOracle oracle) {
+            InvariantChecker oracle) {
         int room = 2 * taskCpu;
         TargetInfo info =
                 new TargetInfo(
--- a/core/src/test/java/org/boragegap/core/cell/TrueRefusalsTest.java
+++ b/core/src/test/java/org/boragegap/core/cell/FalseRefusalTest.java
@@ -14,20 +14,20 @@
  * A refusal says that no task of the job has started. Where something is known to the contrary, the
  * caller is told that its job is in doubt.
  */
-final class TrueRefusalsTest {
+final class FalseRefusalTest {
     private static final String JOB = "00000000000000c1";
     private static final TaskName TASK = new TaskName(JOB, 0, 0, 0);
     private static final TargetInfo FIRST = ScriptedCell.target("t1", "x:1", "a", 2_000);
     private static final TargetInfo SECOND = ScriptedCell.target("t2", "x:2", "a", 2_000);
 
     /** By then the leases of a silent target are over. */
-    private static final long LAPSED_MS = 6_000;
+    private static final long LEASE_EXPIRED_MS = 6_000;
 
     /** By then a job without a caller that runs nowhere has been dropped. */
-    private static final long DROPPED_MS = LAPSED_MS + 4_000;
+    private static final long DROPPED_MS = LEASE_EXPIRED_MS + 4_000;
 
     /** By then what was remembered of a job is forgotten. */
-    private static final long FORGOTTEN_MS = 120_000;
+    private static final long AFTER_RETENTION_MS = 120_000;
 
     @Nested
     final class OfTheController {
@@ -54,9 +54,9 @@
         private void runAndDrop() {
             mCell.begin(0, 7, FIRST, SECOND);
             mCell.listed(5, FIRST, SECOND);
-            mCell.offer(10, JOB, StepRequest.plain(2, 2_000, 100));
+            mCell.offer(10, JOB, StepRequest.cpuOnly(2, 2_000, 100));
             for (CellAction.StartRun start : mCell.starts()) {
-                mCell.take(12, start);
+                mCell.acceptStart(12, start);
             }
             mCell.on(15, new CellEvent.Withdrawn("vm1", JOB));
             mCell.ticks(20, DROPPED_MS);
@@ -90,7 +90,7 @@
             TargetReport.RunningRow row = new TargetReport.RunningRow(TASK, 1, 50);
             mCell.report(5, FIRST.id(), List.of(row), List.of());
             mCell.listed(6, FIRST);
-            mCell.offer(10, JOB, StepRequest.plain(2, 2_000, 100));
+            mCell.offer(10, JOB, StepRequest.cpuOnly(2, 2_000, 100));
             mCell.evacuate(20, "a");
             assertThat(mCell.verdicts()).isEmpty();
         }
@@ -105,7 +105,7 @@
 
         /** Guards against a next term of this VM that has forgotten what the last one started. */
         @Test
-        void aJobThatAnEarlierTermJobsIsNotRefusedAsNeverRun() {
+        void aJobThatRanInAnEarlierTermIsNotRefusedAsNeverRun() {
             runAndDrop();
             mCell.on(DROPPED_MS + 10, new CellEvent.TermEnded());
             mCell.begin(DROPPED_MS + 20, 9, FIRST);
@@ -116,26 +116,26 @@
 
         /** Guards against a memory that grows without bound. */
         @Test
-        void whatRanLongAgoIsForgotten() {
+        void aJobThatRanLongAgoIsForgotten() {
             runAndDrop();
-            refuse(FORGOTTEN_MS, 2);
+            refuse(AFTER_RETENTION_MS, 2);
             assertThat(mCell.verdicts()).hasSize(1);
             assertThat(mCell.verdicts().get(0)).isInstanceOf(Verdict.Declined.class);
         }
     }
 
     @Nested
-    final class OfTheMemory {
+    final class RememberedJobs {
         private final RecentJobs<Integer> mJobs = new RecentJobs<>();
 
         /** Guards against a memory that grows without bound. */
         @Test
         void theOldestIsForgottenFirst() {
-            mJobs.note("first", 1, 0);
-            mJobs.note("second", 2, 0);
-            mJobs.note("first", 3, 1);
-            for (int i = 0; i < RecentJobs.MOST_JOBS - 1; i++) {
-                mJobs.note("job" + i, i, 2);
+            mJobs.remember("first", 1, 0);
+            mJobs.remember("second", 2, 0);
+            mJobs.remember("first", 3, 1);
+            for (int i = 0; i < RecentJobs.MAX_JOBS - 1; i++) {
+                mJobs.remember("job" + i, i, 2);
             }
             assertThat(mJobs.find("first", 3)).hasValue(3);
             assertThat(mJobs.find("second", 3)).isEmpty();
@@ -144,16 +144,16 @@
 
     @Nested
     final class OfTheEntryVm {
-        private final EntryDesk mDesk =
-                EntryDesk.create(new HeartbeatPace(), new ClockReading(0, 0));
+        private final PendingJobs mPendingJobs =
+                PendingJobs.create(new HeartbeatPace(), new ClockReading(0, 0));
         private final List<EntryAction> mActions = new ArrayList<>();
 
         private void on(long ms, EntryEvent event) {
-            mDesk.on(event, new ClockReading(ms, ms), mActions);
+            mPendingJobs.on(event, new ClockReading(ms, ms), mActions);
         }
 
         private void submit(long ms, long ticket) {
-            StepRequest step = StepRequest.plain(1, 1_000, 100);
+            StepRequest step = StepRequest.cpuOnly(1, 1_000, 100);
             JobRequest request =
                     new JobRequest(JOB, "queue", "service", 0, 1, 1.6, 600, "", List.of(step), 1);
             on(ms, new EntryEvent.Submitted(ticket, request, 2_000));
@@ -161,8 +161,8 @@
 
         private CellMessage.Offer lastOffer() {
             return mActions.stream()
-                    .filter(EntryAction.Tell.class::isInstance)
-                    .map(action -> ((EntryAction.Tell) action).message())
+                    .filter(EntryAction.Send.class::isInstance)
+                    .map(action -> ((EntryAction.Send) action).message())
                     .filter(CellMessage.Offer.class::isInstance)
                     .map(CellMessage.Offer.class::cast)
                     .reduce((earlier, later) -> later)
@@ -177,7 +177,7 @@
         }
 
         /** The caller leaves before the job is answered, and the controller goes as planned. */
-        private void handOverAndLeave() {
+        private void offerAndLeave() {
             on(1_000, new EntryEvent.ControllerHeard("vm1", 7));
             submit(1_000, 1);
             on(1_000, new EntryEvent.CallerLeft(1));
@@ -197,16 +197,16 @@
 
         /** Guards against a caller being told that its job never ran after it was handed over. */
         @Test
-        void aJobThatWasHandedOverBeforeIsNotRefusedAsNeverRun() {
-            handOverAndLeave();
+        void aJobOfferedBeforeIsNotRefusedAsNeverRun() {
+            offerAndLeave();
             comeBackAndWait(1_200);
             assertInDoubt();
         }
 
         /** Guards against the same when the caller comes back more than once. */
         @Test
-        void norWhenItsCallerComesBackOnceMore() {
-            handOverAndLeave();
+        void aJobOfferedBeforeIsNotRefusedWhenItsCallerReturnsTwice() {
+            offerAndLeave();
             comeBackAndWait(1_200);
             comeBackAndWait(1_600);
             assertInDoubt();
@@ -214,8 +214,8 @@
 
         /** Guards against a stopping VM that denies what it handed over. */
         @Test
-        void norByAVmThatStops() {
-            handOverAndLeave();
+        void aStoppingVmDoesNotRefuseAJobItOfferedBefore() {
+            offerAndLeave();
             on(1_150, new EntryEvent.Draining());
             submit(1_200, 2);
             assertInDoubt();
@@ -223,7 +223,7 @@
 
         /** Guards against a stopping VM that denies what it has in hand for another caller. */
         @Test
-        void norByAVmThatStopsWhileItWaitsHere() {
+        void aStoppingVmDoesNotRefuseAJobThatWaitsForAnotherCaller() {
             on(1_000, new EntryEvent.ControllerHeard("vm1", 7));
             submit(1_000, 1);
             on(1_050, new EntryEvent.Draining());
@@ -233,8 +233,8 @@
 
         /** Guards against a next controller that takes the job for one that surely never ran. */
         @Test
-        void theNextControllerIsToldThatItIsTheSecond() {
-            handOverAndLeave();
+        void theNextControllerIsCountedAsTheSecond() {
+            offerAndLeave();
             on(1_150, new EntryEvent.ControllerHeard("vm2", 9));
             submit(1_200, 2);
             assertThat(lastOffer().controllers()).isEqualTo(2);
@@ -242,7 +242,7 @@
 
         /** Guards against the return of a caller being counted as another controller. */
         @Test
-        void theSameControllerIsToldThatItIsTheFirst() {
+        void theSameControllerIsCountedOnce() {
             on(1_000, new EntryEvent.ControllerHeard("vm1", 7));
             submit(1_000, 1);
             on(1_000, new EntryEvent.CallerLeft(1));
@@ -265,9 +265,9 @@
 
         /** Guards against a memory that grows without bound. */
         @Test
-        void whatWasHandedOverLongAgoIsForgotten() {
-            handOverAndLeave();
-            comeBackAndWait(FORGOTTEN_MS);
+        void aJobOfferedLongAgoIsForgotten() {
+            offerAndLeave();
+            comeBackAndWait(AFTER_RETENTION_MS);
             assertThat(verdicts()).hasSize(1);
             assertThat(verdicts().get(0)).isInstanceOf(Verdict.Declined.class);
         }
--- a/core/src/test/java/org/boragegap/core/cell/IdleTargetsTest.java
+++ b/core/src/test/java/org/boragegap/core/cell/IdleTargetsTest.java
@@ -18,15 +18,16 @@
 final class IdleTargetsTest {
     private static final long LENGTH_MS = 12_000;
 
-    private static LoadedCell play(double jobsPerS) {
-        List<LoadedCell.Arrival> arrivals = LoadedCell.arrivals(5, jobsPerS, LENGTH_MS);
-        LoadedCell cell = new LoadedCell(arrivals, LENGTH_MS, LoadedCell.LostOrders.none());
-        LoadedCell.Score score = cell.play();
+    private static LoadSimulation play(double jobsPerS) {
+        List<LoadSimulation.Arrival> arrivals = LoadSimulation.arrivals(5, jobsPerS, LENGTH_MS);
+        LoadSimulation cell =
+                new LoadSimulation(arrivals, LENGTH_MS, LoadSimulation.LostOrders.none());
+        LoadSimulation.Score score = cell.simulate();
         System.out.printf(
                 "%.0f jobs/s: %.2f lease calls a second and target, in time %.3f%n",
-                jobsPerS, cell.leaseCallsPerTarget(), score.all());
-        assertThat(cell.broken()).isEmpty();
-        assertThat(score.all()).isAtLeast(0.99);
+                jobsPerS, cell.leaseCallsPerTarget(), score.inTimeShare());
+        assertThat(cell.violations()).isEmpty();
+        assertThat(score.inTimeShare()).isAtLeast(0.99);
         return cell;
     }
 
@@ -54,7 +55,7 @@
         private final List<CellAction> mActions = new ArrayList<>();
 
         private void on(long ms, CellEvent event) {
-            mController.actsUntil(ms + 1_000);
+            mController.exclusiveUntil(ms + 1_000);
             mController.on(event, new ClockReading(ms, ms), mActions);
         }
 
@@ -88,7 +89,7 @@
         }
 
         private void offer(long ms, String id) {
-            StepRequest step = StepRequest.plain(1, 1_000, 900);
+            StepRequest step = StepRequest.cpuOnly(1, 1_000, 900);
             JobRequest request =
                     new JobRequest(id, "queue", "service", 0, 3, 1.6, 60, "", List.of(step), 1);
             on(ms, new CellEvent.Offered("vm1", request, 0, 1_500, 1, 1));
--- a/core/src/test/java/org/boragegap/core/cell/CellOracle.java
+++ b/core/src/test/java/org/boragegap/core/cell/InvariantChecker.java
@@ -9,20 +9,20 @@
 import java.util.stream.IntStream;
 
 /** Watches targets and callers, and notes each broken promise. */
-final class CellOracle {
+final class InvariantChecker {
     private final Map<TaskName, Set<String>> mRunning = new HashMap<>();
     private final Set<TaskName> mDone = new HashSet<>();
     private final Set<String> mStartedJobs = new HashSet<>();
-    private final Map<String, Integer> mAttempts = new HashMap<>();
+    private final Map<String, Integer> mSubmissions = new HashMap<>();
     private final Map<String, Integer> mRefusals = new HashMap<>();
-    private final Set<String> mFinished = new HashSet<>();
+    private final Set<String> mCompletedJobs = new HashSet<>();
     private final Map<TaskName, Integer> mFailedRuns = new HashMap<>();
-    private final List<String> mBroken = new ArrayList<>();
+    private final List<String> mViolations = new ArrayList<>();
     private final Map<String, Long> mEvacuatedMs = new HashMap<>();
-    private long mEvacuateMs = Long.MAX_VALUE;
+    private long mEvacuationLimitMs = Long.MAX_VALUE;
     private long mNowMs;
 
-    void at(long nowMs) {
+    void setNow(long nowMs) {
         mNowMs = nowMs;
     }
 
@@ -30,32 +30,32 @@
         mStartedJobs.add(task.job());
         Set<String> where = mRunning.computeIfAbsent(task, name -> new HashSet<>());
         if (!where.isEmpty()) {
-            broken("twice at a time: " + task.text() + " on " + target + " and " + where);
+            violations("twice at a time: " + task.text() + " on " + target + " and " + where);
         }
         where.add(target);
         if (usedCpu > roomCpu) {
-            broken("over its room: " + target + " uses " + usedCpu + " of " + roomCpu);
+            violations("over its room: " + target + " uses " + usedCpu + " of " + roomCpu);
         }
     }
 
     /** From how long after an evacuation on nothing may be started in its domain, in ms. */
     void evacuateWithin(long ms) {
-        mEvacuateMs = ms;
+        mEvacuationLimitMs = ms;
     }
 
     void evacuated(String domain) {
         mEvacuatedMs.put(domain, mNowMs);
     }
 
-    void takenBack(String domain) {
+    void evacuationCancelled(String domain) {
         mEvacuatedMs.remove(domain);
     }
 
     /** A start has come that was not held up on its way. */
-    void startCame(TaskName task, TargetInfo target) {
+    void startArrived(TaskName task, TargetInfo target) {
         Long sinceMs = mEvacuatedMs.get(target.failureDomain());
-        if (sinceMs != null && mNowMs - sinceMs > mEvacuateMs) {
-            broken("started in an evacuated domain: " + task.text() + " on " + target.id());
+        if (sinceMs != null && mNowMs - sinceMs > mEvacuationLimitMs) {
+            violations("started in an evacuated domain: " + task.text() + " on " + target.id());
         }
     }
 
@@ -69,8 +69,8 @@
         }
     }
 
-    void handedIn(String job) {
-        mAttempts.merge(job, 1, Integer::sum);
+    void submitted(String job) {
+        mSubmissions.merge(job, 1, Integer::sum);
     }
 
     void answered(JobRequest request, Verdict verdict) {
@@ -78,7 +78,7 @@
         if (verdict instanceof Verdict.Declined) {
             mRefusals.merge(job, 1, Integer::sum);
         } else if (verdict instanceof Verdict.Completed) {
-            mFinished.add(job);
+            mCompletedJobs.add(job);
             completed(request);
         } else if (verdict instanceof Verdict.Failed failed) {
             failed(request, failed.reason());
@@ -88,14 +88,14 @@
     private void completed(JobRequest request) {
         for (TaskName task : tasks(request)) {
             if (!mDone.contains(task)) {
-                broken("completed, and not done: " + task.text());
+                violations("completed, and not done: " + task.text());
             }
         }
     }
 
     private void failed(JobRequest request, String reason) {
         if (tasks(request).stream().noneMatch(task -> hasFailed(task, request.maxAttempts()))) {
-            broken("shown as failed, and no task had: " + request.id() + ", " + reason);
+            violations("shown as failed, and no task had: " + request.id() + ", " + reason);
         }
     }
 
@@ -113,21 +113,21 @@
     void close() {
         mRefusals.forEach(
                 (job, refusals) -> {
-                    if (refusals.equals(mAttempts.get(job)) && mStartedJobs.contains(job)) {
-                        broken("refused, and a task has started: " + job);
+                    if (refusals.equals(mSubmissions.get(job)) && mStartedJobs.contains(job)) {
+                        violations("refused, and a task has started: " + job);
                     }
                 });
     }
 
-    private void broken(String what) {
-        mBroken.add(mNowMs + " ms: " + what);
+    private void violations(String what) {
+        mViolations.add(mNowMs + " ms: " + what);
     }
 
-    List<String> broken() {
-        return mBroken;
+    List<String> violations() {
+        return mViolations;
     }
 
-    int finished() {
-        return mFinished.size();
+    int completedJobs() {
+        return mCompletedJobs.size();
     }
 }
--- a/core/src/test/java/org/boragegap/core/cell/KnownEndsTest.java
+++ b/core/src/test/java/org/boragegap/core/cell/KnownEndsTest.java
@@ -15,10 +15,10 @@
     private static final TargetInfo FIRST = ScriptedCell.target("t1", "x:1", "a", 2_000);
 
     private static final TargetInfo SECOND = ScriptedCell.target("t2", "x:2", "a", 2_000);
-    private static final StepRequest ONE = StepRequest.plain(1, 1_000, 100);
+    private static final StepRequest ONE_TASK = StepRequest.cpuOnly(1, 1_000, 100);
 
     /** By then the leases of a silent target are over. */
-    private static final long LAPSED_MS = 6_000;
+    private static final long LEASE_EXPIRED_MS = 6_000;
 
     private final ScriptedCell mCell = new ScriptedCell();
 
@@ -52,8 +52,8 @@
         @Test
         void aJobWhoseTasksAreKnownToBeDoneIsNotFailedForCrashes() {
             inherit(done(1, TASK, 3));
-            mCell.on(10, new CellEvent.CrashTold(TASK, "t8", CrashEvidence.CONFIRMED));
-            mCell.on(10, new CellEvent.CrashTold(TASK, "t9", CrashEvidence.CONFIRMED));
+            mCell.on(10, new CellEvent.CrashReported(TASK, "t8", CrashEvidence.CONFIRMED));
+            mCell.on(10, new CellEvent.CrashReported(TASK, "t9", CrashEvidence.CONFIRMED));
             mCell.offer(20, JOB, 1);
             assertThat(mCell.verdicts()).containsExactly(new Verdict.Completed());
         }
@@ -76,36 +76,36 @@
     /** A run's lease lapses, its task is started again, and then its end is reported. */
     @Nested
     final class AfterTheTaskWasStartedAgain {
-        private CellAction.StartRun mLapsed;
-        private CellAction.StartRun mAgain;
+        private CellAction.StartRun mExpiredStart;
+        private CellAction.StartRun mSecondStart;
 
         private CellAction.StartRun lastStart() {
             return mCell.starts().get(mCell.starts().size() - 1);
         }
 
-        private void lapseAndStartAgain(StepRequest... steps) {
+        private void expireLeaseAndRestart(StepRequest... steps) {
             mCell.evacuate(0);
             mCell.begin(0, 7, FIRST, SECOND);
             mCell.listed(5, FIRST, SECOND);
             mCell.offer(10, JOB, steps);
-            mLapsed = lastStart();
-            TargetInfo other = mLapsed.target().equals(FIRST) ? SECOND : FIRST;
-            mCell.take(12, mLapsed);
-            for (long ms = 20; ms <= LAPSED_MS; ms += 10) {
+            mExpiredStart = lastStart();
+            TargetInfo other = mExpiredStart.target().equals(FIRST) ? SECOND : FIRST;
+            mCell.acceptStart(12, mExpiredStart);
+            for (long ms = 20; ms <= LEASE_EXPIRED_MS; ms += 10) {
                 mCell.on(ms, new CellEvent.Ticked());
                 if (mCell.starts().size() == 2) {
-                    mCell.take(ms, lastStart());
+                    mCell.acceptStart(ms, lastStart());
                 }
                 if (ms % 100 == 0) {
-                    mCell.report(ms, other.id(), atWorkOn(other), List.of());
+                    mCell.report(ms, other.id(), runningOn(other), List.of());
                 }
             }
-            mAgain = lastStart();
+            mSecondStart = lastStart();
             assertThat(mCell.starts()).hasSize(2);
-            assertThat(mAgain.target().id()).isEqualTo(other.id());
+            assertThat(mSecondStart.target().id()).isEqualTo(other.id());
         }
 
-        private List<TargetReport.RunningRow> atWorkOn(TargetInfo target) {
+        private List<TargetReport.RunningRow> runningOn(TargetInfo target) {
             return mCell.starts().stream()
                     .filter(start -> start.target().id().equals(target.id()))
                     .map(start -> new TargetReport.RunningRow(start.task(), start.run(), 90))
@@ -119,26 +119,27 @@
 
         /** Guards against the end of a run being dropped because its task was started again. */
         @Test
-        void aTaskThatWasDoneBeforeItsRunWasTakenForLapsedIsDone() {
-            lapseAndStartAgain(ONE);
-            reportDone(LAPSED_MS + 10, mLapsed);
-            mCell.ticks(LAPSED_MS + 20, LAPSED_MS + 200);
+        void aTaskReportedDoneAfterItsLeaseExpiredIsDone() {
+            expireLeaseAndRestart(ONE_TASK);
+            reportDone(LEASE_EXPIRED_MS + 10, mExpiredStart);
+            mCell.ticks(LEASE_EXPIRED_MS + 20, LEASE_EXPIRED_MS + 200);
             TargetReport.EndedRow failed =
-                    new TargetReport.EndedRow(1, TASK, mAgain.run(), EndCause.FAILED);
-            mCell.report(LAPSED_MS + 210, mAgain.target().id(), List.of(), List.of(failed));
+                    new TargetReport.EndedRow(1, TASK, mSecondStart.run(), EndCause.FAILED);
+            mCell.report(
+                    LEASE_EXPIRED_MS + 210, mSecondStart.target().id(), List.of(), List.of(failed));
             assertThat(mCell.verdicts()).containsExactly(new Verdict.Completed());
         }
 
         /** Guards against a second run that holds room while nobody waits for it. */
         @Test
         void theSecondRunIsStopped() {
-            lapseAndStartAgain(ONE);
-            reportDone(LAPSED_MS + 10, mLapsed);
+            expireLeaseAndRestart(ONE_TASK);
+            reportDone(LEASE_EXPIRED_MS + 10, mExpiredStart);
             List<CellAction.StopRun> stops = mCell.actions(CellAction.StopRun.class);
             assertThat(stops).isNotEmpty();
             CellAction.StopRun stop = stops.get(stops.size() - 1);
-            assertThat(stop.target().id()).isEqualTo(mAgain.target().id());
-            assertThat(stop.run()).isEqualTo(mAgain.run());
+            assertThat(stop.target().id()).isEqualTo(mSecondStart.target().id());
+            assertThat(stop.run()).isEqualTo(mSecondStart.run());
         }
 
         /** Guards against a job that stands still since the next step isn't looked at. */
@@ -146,8 +147,8 @@
         void theNextStepStarts() {
             Optional<String> any = Optional.empty();
             StepRequest next = new StepRequest(1, 1_000, 0, 0, 100, List.of(0), any, any, 0);
-            lapseAndStartAgain(ONE, next);
-            reportDone(LAPSED_MS + 10, mLapsed);
+            expireLeaseAndRestart(ONE_TASK, next);
+            reportDone(LEASE_EXPIRED_MS + 10, mExpiredStart);
             assertThat(mCell.starts()).hasSize(3);
             assertThat(lastStart().task().step()).isEqualTo(1);
             assertThat(mCell.verdicts()).isEmpty();
--- a/core/src/test/java/org/boragegap/core/cell/LoadedCell.java
+++ b/core/src/test/java/org/boragegap/core/cell/LoadSimulation.java
@@ -15,15 +15,15 @@
  * widths, run times and objectives are those of the smaller deployment: 32 targets that hold two or
  * three tasks each; estimates are off by 40%.
  */
-final class LoadedCell {
+final class LoadSimulation {
     private static final int TASK_CPU = 27_000;
     private static final double[] SPEEDS = {0.8, 1.0, 1.25};
 
     /** Jobs come from this time on, in ms; before, the targets report. */
-    static final long BEGINS_MS = 1_000;
+    static final long ARRIVALS_START_MS = 1_000;
 
     /** After the last job the targets have this long to finish, in ms. */
-    private static final long FINISH_MS = 5_000;
+    private static final long COMPLETION_WINDOW_MS = 5_000;
 
     private static final long TICK_MS = 10;
 
@@ -33,15 +33,15 @@
     private static final long STEP_MS = 2;
 
     /** An order without an answer is given up after this, in ms, or later if it may be held. */
-    private static final long ANSWER_WITHIN_MS = 250;
+    private static final long ANSWER_TIMEOUT_MS = 250;
 
     /** A target's answer is on its way for this long, in ms. */
-    private static final long HOP_MS = 1;
+    private static final long ANSWER_DELAY_MS = 1;
 
     /** A lost order is carried out from two to twelve seconds later. */
-    private static final long LATE_FROM_MS = 2_000;
+    private static final long MIN_LATE_MS = 2_000;
 
-    private static final long LATE_SPREAD_MS = 10_000;
+    private static final long LATE_RANGE_MS = 10_000;
 
     /** Orders that get no answer and are carried out seconds later. */
     record LostOrders(double share, long fromMs, long untilMs) {
@@ -58,13 +58,13 @@
         private final double mShare;
         private final int mWidth;
         private final long mWorkMs;
-        private final double mWorth;
+        private final double mValue;
 
         Kind(double share, int width, long workMs, double worth) {
             mShare = share;
             mWidth = width;
             mWorkMs = workMs;
-            mWorth = worth;
+            mValue = worth;
         }
 
         static Kind draw(double at) {
@@ -94,67 +94,67 @@
         while (atMs < lengthMs) {
             atMs += -Math.log(1 - random.nextDouble()) * 1_000 / jobsPerS;
             Kind kind = Kind.draw(random.nextDouble());
-            int width = Math.max(1, (int) Math.round(kind.mWidth * spread(random)));
-            long workMs = Math.max(10, Math.round(kind.mWorkMs * spread(random)));
+            int width = Math.max(1, (int) Math.round(kind.mWidth * randomFactor(random)));
+            long workMs = Math.max(10, Math.round(kind.mWorkMs * randomFactor(random)));
             arrivals.add(new Arrival((long) atMs, arrivals.size(), kind, width, workMs));
         }
         return arrivals;
     }
 
-    private static double spread(SplittableRandom random) {
+    private static double randomFactor(SplittableRandom random) {
         return 0.4 + 1.2 * random.nextDouble();
     }
 
     /** Worth of the jobs that were answered in time, and of all that came. */
     static final class Score {
-        private final double[] mOwed = new double[Kind.values().length];
-        private final double[] mInTime = new double[Kind.values().length];
+        private final double[] mTotalValue = new double[Kind.values().length];
+        private final double[] mInTimeValue = new double[Kind.values().length];
 
         void add(Arrival arrival, boolean inTime) {
-            mOwed[arrival.kind().ordinal()] += arrival.kind().mWorth;
-            mInTime[arrival.kind().ordinal()] += inTime ? arrival.kind().mWorth : 0;
+            mTotalValue[arrival.kind().ordinal()] += arrival.kind().mValue;
+            mInTimeValue[arrival.kind().ordinal()] += inTime ? arrival.kind().mValue : 0;
         }
 
         /** Share of the worth in time. */
-        double all() {
+        double inTimeShare() {
             double owed = 0;
             double inTime = 0;
             for (Kind kind : Kind.values()) {
-                owed += mOwed[kind.ordinal()];
-                inTime += mInTime[kind.ordinal()];
+                owed += mTotalValue[kind.ordinal()];
+                inTime += mInTimeValue[kind.ordinal()];
             }
             return inTime / owed;
         }
 
         /** The same of the kind that is served worst. */
-        double worstKind() {
+        double worstInTimeShare() {
             double worst = 1;
             for (Kind kind : Kind.values()) {
-                worst = Math.min(worst, mInTime[kind.ordinal()] / mOwed[kind.ordinal()]);
+                worst = Math.min(worst, mInTimeValue[kind.ordinal()] / mTotalValue[kind.ordinal()]);
             }
             return worst;
         }
     }
 
-    private record Due(long atMs, Runnable action) {}
+    private record ScheduledAction(long atMs, Runnable action) {}
 
     private final CellController mController = CellController.create(new CellSettings(1_000, 2));
-    private final PriorityQueue<Due> mDue =
-            new PriorityQueue<>(Comparator.comparingLong(Due::atMs));
+    private final PriorityQueue<ScheduledAction> mSchedule =
+            new PriorityQueue<>(Comparator.comparingLong(ScheduledAction::atMs));
     private final List<FakeTarget> mTargets = new ArrayList<>();
-    private final CellOracle mOracle = new CellOracle();
+    private final InvariantChecker mInvariants = new InvariantChecker();
     private final Score mScore = new Score();
     private final List<Arrival> mArrivals;
     private final long mLengthMs;
-    private final LostOrders mLost;
+    private final LostOrders mLostOrders;
     private final SplittableRandom mRandom = new SplittableRandom(1);
     private long mNowMs;
     private int mLeaseCalls;
 
-    LoadedCell(List<Arrival> arrivals, long lengthMs, LostOrders lost) {
+    LoadSimulation(List<Arrival> arrivals, long lengthMs, LostOrders lost) {
         mArrivals = arrivals;
         mLengthMs = lengthMs;
-        mLost = lost;
+        mLostOrders = lost;
         List<TargetInfo> infos = new ArrayList<>();
         for (int i = 0; i < 32; i++) {
             int cpu = i % 3 == 2 ? 96_000 : 64_000;
@@ -163,31 +163,33 @@
                             "t" + i, "t" + i, "service", "domain", cpu, 1_000, 0, Set.of(), false,
                             false);
             infos.add(info);
-            mTargets.add(new FakeTarget(info, 1.0, TASK_CPU, mOracle));
+            mTargets.add(new FakeTarget(info, 1.0, TASK_CPU, mInvariants));
         }
-        feed(new CellEvent.DomainsEvacuated(Set.of()));
-        feed(new CellEvent.TermBegan(1, Optional.empty()));
-        feed(new CellEvent.TargetsListed(infos));
-        feed(new CellEvent.PredecessorsKnown(true));
+        deliver(new CellEvent.DomainsEvacuated(Set.of()));
+        deliver(new CellEvent.TermBegan(1, Optional.empty()));
+        deliver(new CellEvent.TargetsListed(infos));
+        deliver(new CellEvent.PredecessorsKnown(true));
         tick();
     }
 
     private void tick() {
-        feed(new CellEvent.Ticked());
-        mDue.add(new Due(mNowMs + TICK_MS, this::tick));
+        deliver(new CellEvent.Ticked());
+        mSchedule.add(new ScheduledAction(mNowMs + TICK_MS, this::tick));
     }
 
     /** Plays all arrivals. */
-    Score play() {
-        long endMs = BEGINS_MS + mLengthMs + FINISH_MS;
+    Score simulate() {
+        long endMs = ARRIVALS_START_MS + mLengthMs + COMPLETION_WINDOW_MS;
         for (long at = 5; at < endMs; at += STEP_MS) {
-            mDue.add(new Due(at, () -> mTargets.forEach(target -> target.at(mNowMs))));
+            mSchedule.add(
+                    new ScheduledAction(at, () -> mTargets.forEach(target -> target.at(mNowMs))));
         }
         for (Arrival arrival : mArrivals) {
-            mDue.add(new Due(BEGINS_MS + arrival.atMs(), () -> offer(arrival)));
+            mSchedule.add(
+                    new ScheduledAction(ARRIVALS_START_MS + arrival.atMs(), () -> offer(arrival)));
         }
-        while (!mDue.isEmpty() && mDue.peek().atMs() < endMs) {
-            Due due = mDue.poll();
+        while (!mSchedule.isEmpty() && mSchedule.peek().atMs() < endMs) {
+            ScheduledAction due = mSchedule.poll();
             mNowMs = due.atMs();
             due.action().run();
         }
@@ -196,7 +198,7 @@
 
     private void offer(Arrival arrival) {
         long estimateMs = Math.round(arrival.workMs() * (0.6 + 0.1 * (arrival.number() % 9)));
-        StepRequest step = StepRequest.plain(arrival.width(), TASK_CPU, estimateMs);
+        StepRequest step = StepRequest.cpuOnly(arrival.width(), TASK_CPU, estimateMs);
         JobRequest request =
                 new JobRequest(
                         arrival.id(),
@@ -209,10 +211,10 @@
                         "",
                         List.of(step),
                         1);
-        feed(new CellEvent.Offered("vm", request, 0, BUDGET_MS, 1, 1));
+        deliver(new CellEvent.Offered("vm", request, 0, BUDGET_MS, 1, 1));
     }
 
-    private void feed(CellEvent event) {
+    private void deliver(CellEvent event) {
         List<CellAction> actions = new ArrayList<>();
         mController.on(event, new ClockReading(mNowMs, mNowMs), actions);
         actions.forEach(this::run);
@@ -222,7 +224,7 @@
         if (action instanceof CellAction.Answer answer) {
             answered(answer);
         } else if (isOrder(action)) {
-            order(action);
+            sendOrder(action);
         }
     }
 
@@ -234,21 +236,21 @@
 
     private void answered(CellAction.Answer answer) {
         Arrival arrival = mArrivals.get(Integer.parseInt(answer.job(), 16));
-        long tookMs = mNowMs - BEGINS_MS - arrival.atMs();
+        long tookMs = mNowMs - ARRIVALS_START_MS - arrival.atMs();
         boolean done = answer.verdict() instanceof Verdict.Completed;
         mScore.add(arrival, done && tookMs <= arrival.objectiveMs());
     }
 
-    private void order(CellAction order) {
-        boolean losing = mNowMs >= mLost.fromMs() && mNowMs < mLost.untilMs();
-        if (losing && mRandom.nextDouble() < mLost.share()) {
-            long lateMs = LATE_FROM_MS + mRandom.nextLong(LATE_SPREAD_MS);
-            mDue.add(new Due(mNowMs + lateMs, () -> execute(order, event -> {})));
-            long givenUpMs = mNowMs + ANSWER_WITHIN_MS + Orders.waitMs(order);
-            mDue.add(new Due(givenUpMs, () -> feed(Orders.unanswered(order))));
+    private void sendOrder(CellAction order) {
+        boolean losing = mNowMs >= mLostOrders.fromMs() && mNowMs < mLostOrders.untilMs();
+        if (losing && mRandom.nextDouble() < mLostOrders.share()) {
+            long lateMs = MIN_LATE_MS + mRandom.nextLong(LATE_RANGE_MS);
+            mSchedule.add(new ScheduledAction(mNowMs + lateMs, () -> execute(order, event -> {})));
+            long givenUpMs = mNowMs + ANSWER_TIMEOUT_MS + Orders.waitMs(order);
+            mSchedule.add(new ScheduledAction(givenUpMs, () -> deliver(Orders.unanswered(order))));
             return;
         }
-        execute(order, this::feedLater);
+        execute(order, this::deliverLater);
     }
 
     private void execute(CellAction action, Consumer<CellEvent> reply) {
@@ -257,20 +259,20 @@
             mLeaseCalls++;
             target.extend(order, reply);
         } else if (action instanceof CellAction.StartRun order) {
-            target.start(order, takesMs(order), false, reply);
+            target.start(order, runTimeMs(order), false, reply);
         } else if (action instanceof CellAction.StopRun order) {
             target.stop(order, reply);
         }
     }
 
-    private long takesMs(CellAction.StartRun order) {
+    private long runTimeMs(CellAction.StartRun order) {
         Arrival arrival = mArrivals.get(Integer.parseInt(order.task().job(), 16));
         int number = Integer.parseInt(order.target().id().substring(1));
         return Math.round(arrival.workMs() / SPEEDS[number % SPEEDS.length]);
     }
 
-    private void feedLater(CellEvent event) {
-        mDue.add(new Due(mNowMs + HOP_MS, () -> feed(event)));
+    private void deliverLater(CellEvent event) {
+        mSchedule.add(new ScheduledAction(mNowMs + ANSWER_DELAY_MS, () -> deliver(event)));
     }
 
     private FakeTarget target(TargetInfo info) {
@@ -279,12 +281,12 @@
 
     /** Lease calls that the targets have taken, a second and target, over the whole play. */
     double leaseCallsPerTarget() {
-        long playedMs = BEGINS_MS + mLengthMs + FINISH_MS;
+        long playedMs = ARRIVALS_START_MS + mLengthMs + COMPLETION_WINDOW_MS;
         return 1_000.0 * mLeaseCalls / playedMs / mTargets.size();
     }
 
     /** What was broken, as targets and callers saw it. */
-    List<String> broken() {
-        return mOracle.broken();
+    List<String> violations() {
+        return mInvariants.violations();
     }
 }
--- a/core/src/test/java/org/boragegap/core/cell/LostOrdersTest.java
+++ b/core/src/test/java/org/boragegap/core/cell/LostOrdersTest.java
@@ -17,16 +17,17 @@
 final class LostOrdersTest {
     private static final double JOBS_PER_S = 60;
     private static final long LENGTH_MS = 12_000;
-    private static final long FROM_MS = LoadedCell.BEGINS_MS + 2_000;
+    private static final long FROM_MS = LoadSimulation.ARRIVALS_START_MS + 2_000;
 
     private static double inTime(double share) {
-        List<LoadedCell.Arrival> arrivals = LoadedCell.arrivals(11, JOBS_PER_S, LENGTH_MS);
-        LoadedCell.LostOrders lost =
-                new LoadedCell.LostOrders(share, FROM_MS, LoadedCell.BEGINS_MS + LENGTH_MS);
-        LoadedCell cell = new LoadedCell(arrivals, LENGTH_MS, lost);
-        double inTime = cell.play().all();
+        List<LoadSimulation.Arrival> arrivals = LoadSimulation.arrivals(11, JOBS_PER_S, LENGTH_MS);
+        LoadSimulation.LostOrders lost =
+                new LoadSimulation.LostOrders(
+                        share, FROM_MS, LoadSimulation.ARRIVALS_START_MS + LENGTH_MS);
+        LoadSimulation cell = new LoadSimulation(arrivals, LENGTH_MS, lost);
+        double inTime = cell.simulate().inTimeShare();
         System.out.printf("orders lost %.3f: in time %.2f%n", share, inTime);
-        assertThat(cell.broken()).isEmpty();
+        assertThat(cell.violations()).isEmpty();
         return inTime;
     }
 
--- a/core/src/test/java/org/boragegap/core/cell/OfferNumbersTest.java
+++ b/core/src/test/java/org/boragegap/core/cell/OfferNumbersTest.java
@@ -17,46 +17,46 @@
     private static final TargetInfo TARGET = ScriptedCell.target("t1", "x:1", "a", 2_000);
 
     /** Some day, in ms since the Unix epoch. */
-    private static final long DAY_MS = 1_800_000_000_000L;
+    private static final long START_WALL_MS = 1_800_000_000_000L;
 
     /** Offers of one life before it ends. */
     private static final int MANY_OFFERS = 500;
 
     private static JobRequest request() {
-        StepRequest tooLarge = StepRequest.plain(1, 9_000, 100);
+        StepRequest tooLarge = StepRequest.cpuOnly(1, 9_000, 100);
         return new JobRequest(JOB, "queue", "service", 0, 1, 1.6, 600, "", List.of(tooLarge), 1);
     }
 
     /** One life of an entry VM; its monotonic clock begins anew with it. */
-    private static final class Life {
-        private final EntryDesk mDesk;
+    private static final class EntryVmProcess {
+        private final PendingJobs mPendingJobs;
         private final List<EntryAction> mActions = new ArrayList<>();
         private final ClockReading mNow;
         private long mNextTicket = 1;
 
-        Life(long wallMs) {
+        EntryVmProcess(long wallMs) {
             mNow = new ClockReading(10, wallMs);
-            mDesk = EntryDesk.create(new HeartbeatPace(), mNow);
+            mPendingJobs = PendingJobs.create(new HeartbeatPace(), mNow);
             on(new EntryEvent.ControllerHeard("vm1", 7));
         }
 
         private void on(EntryEvent event) {
-            mDesk.on(event, mNow, mActions);
+            mPendingJobs.on(event, mNow, mActions);
         }
 
         CellMessage.Offer offer() {
             on(new EntryEvent.Submitted(mNextTicket, request(), 2_000));
             on(new EntryEvent.CallerLeft(mNextTicket++));
             return mActions.stream()
-                    .filter(EntryAction.Tell.class::isInstance)
-                    .map(action -> ((EntryAction.Tell) action).message())
+                    .filter(EntryAction.Send.class::isInstance)
+                    .map(action -> ((EntryAction.Send) action).message())
                     .filter(CellMessage.Offer.class::isInstance)
                     .map(CellMessage.Offer.class::cast)
                     .reduce((earlier, later) -> later)
                     .orElseThrow();
         }
 
-        CellMessage.Offer offerLast() {
+        CellMessage.Offer lastOfMany() {
             for (int i = 1; i < MANY_OFFERS; i++) {
                 offer();
             }
@@ -65,24 +65,24 @@
     }
 
     @Nested
-    final class OfTwoLives {
+    final class AcrossRestarts {
         /** Guards against an answer to one life's offer being taken for one to the other's. */
         @Test
-        void offersOfTwoLivesOfAnEntryVmHaveDifferentNumbers() {
-            long first = new Life(DAY_MS).offer().number();
-            assertThat(new Life(DAY_MS + 1).offer().number()).isNotEqualTo(first);
-            assertThat(new Life(DAY_MS - 1).offer().number()).isNotEqualTo(first);
+        void offerNumbersDifferAcrossRestarts() {
+            long first = new EntryVmProcess(START_WALL_MS).offer().number();
+            assertThat(new EntryVmProcess(START_WALL_MS + 1).offer().number()).isNotEqualTo(first);
+            assertThat(new EntryVmProcess(START_WALL_MS - 1).offer().number()).isNotEqualTo(first);
         }
 
         @Test
-        void thoseOfTheLaterLifeAreHigher() {
-            long last = new Life(DAY_MS).offerLast().number();
-            assertThat(new Life(DAY_MS + 1).offer().number()).isGreaterThan(last);
+        void offerNumbersAreHigherAfterARestart() {
+            long last = new EntryVmProcess(START_WALL_MS).lastOfMany().number();
+            assertThat(new EntryVmProcess(START_WALL_MS + 1).offer().number()).isGreaterThan(last);
         }
 
         @Test
-        void thoseOfOneLifeRise() {
-            Life life = new Life(DAY_MS);
+        void offerNumbersRiseWithinOneProcess() {
+            EntryVmProcess life = new EntryVmProcess(START_WALL_MS);
             long first = life.offer().number();
             assertThat(first).isGreaterThan(0);
             assertThat(life.offer().number()).isGreaterThan(first);
@@ -103,7 +103,7 @@
         }
 
         private void on(long ms, CellEvent event) {
-            mController.actsUntil(ms + 1_000);
+            mController.exclusiveUntil(ms + 1_000);
             mController.on(event, new ClockReading(ms, ms), mActions);
         }
 
@@ -120,19 +120,19 @@
 
         /** Guards against a caller that gets no answer since its entry VM was restarted. */
         @Test
-        void anEntryVmThatCountsAnewIsHeard() {
-            CellMessage.Offer before = new Life(DAY_MS).offerLast();
+        void anOfferAfterARestartIsAnswered() {
+            CellMessage.Offer before = new EntryVmProcess(START_WALL_MS).lastOfMany();
             offered(10, before);
-            CellMessage.Offer after = new Life(DAY_MS + 1_000).offer();
+            CellMessage.Offer after = new EntryVmProcess(START_WALL_MS + 1_000).offer();
             offered(1_100, after);
             assertThat(answered()).containsExactly(before.number(), after.number()).inOrder();
         }
 
         /** Guards against an offer of a life that is over, held up, starting a refused job. */
         @Test
-        void aLateOfferOfAnEarlierLifeIsNotTakenOn() {
-            CellMessage.Offer before = new Life(DAY_MS).offerLast();
-            CellMessage.Offer after = new Life(DAY_MS + 1_000).offer();
+        void aDelayedOfferFromBeforeARestartIsIgnored() {
+            CellMessage.Offer before = new EntryVmProcess(START_WALL_MS).lastOfMany();
+            CellMessage.Offer after = new EntryVmProcess(START_WALL_MS + 1_000).offer();
             offered(1_100, after);
             offered(1_200, before);
             assertThat(answered()).containsExactly(after.number());
@@ -143,10 +143,10 @@
          * long as a refusal is remembered, and no longer.
          */
         @Test
-        void afterAClockThatWentBackItIsHeardOnceTheRefusalIsForgotten() {
-            CellMessage.Offer before = new Life(DAY_MS).offer();
+        void afterAClockSetBackAnOfferIsAnsweredOnceTheRefusalIsForgotten() {
+            CellMessage.Offer before = new EntryVmProcess(START_WALL_MS).offer();
             offered(10, before);
-            CellMessage.Offer after = new Life(DAY_MS - 5_000).offer();
+            CellMessage.Offer after = new EntryVmProcess(START_WALL_MS - 5_000).offer();
             offered(1_100, after);
             assertThat(answered()).containsExactly(before.number());
             on(10_100, new CellEvent.Ticked());
--- a/core/src/test/java/org/boragegap/core/cell/OrderWays.java
+++ b/core/src/test/java/org/boragegap/core/cell/OrderTransport.java
@@ -5,30 +5,30 @@
 import java.util.function.Consumer;
 
 /** Carries a history's orders to targets and the answers back; some are lost, late or held up. */
-final class OrderWays {
-    private static final long ANSWER_WITHIN_MS = 300;
-    private static final int FAILS_PERCENT = 2;
+final class OrderTransport {
+    private static final long ANSWER_TIMEOUT_MS = 300;
+    private static final int TASK_FAILURE_PERCENT = 2;
 
     private final SimulatedClock mClock;
     private final SplittableRandom mRandom;
     private final Hops mHops;
     private final Disturbances mPercent;
     private final FakePlatform mPlatform;
-    private final CellOracle mOracle;
+    private final InvariantChecker mInvariants;
 
-    OrderWays(
+    OrderTransport(
             SimulatedClock clock,
             SplittableRandom random,
             Hops hops,
             Disturbances percent,
             FakePlatform platform,
-            CellOracle oracle) {
+            InvariantChecker oracle) {
         mClock = clock;
         mRandom = random;
         mHops = hops;
         mPercent = percent;
         mPlatform = platform;
-        mOracle = oracle;
+        mInvariants = oracle;
     }
 
     private boolean chance(int percent) {
@@ -45,7 +45,7 @@
         FakeTarget target = mPlatform.target(Orders.target(order).id());
         boolean lost = chance(mPercent.mLost);
         boolean late = chance(mPercent.mLate);
-        long givenUpMs = ANSWER_WITHIN_MS + Orders.waitMs(order);
+        long givenUpMs = ANSWER_TIMEOUT_MS + Orders.waitMs(order);
         mClock.after(givenUpMs, () -> learn.accept(Orders.unanswered(order)));
         if (target == null || cut.getAsBoolean()) {
             return;
@@ -70,7 +70,7 @@
             return;
         }
         if (!late && order instanceof CellAction.StartRun start) {
-            mOracle.startCame(start.task(), target.info());
+            mInvariants.startArrived(start.task(), target.info());
         }
         execute(target, order, answer);
     }
@@ -81,7 +81,7 @@
             target.extend(extend, answer);
         } else if (order instanceof CellAction.StartRun start) {
             long takesMs = mRandom.nextInt(6) == 0 ? 1_500 : 30 + mRandom.nextInt(300);
-            target.start(start, takesMs, chance(FAILS_PERCENT), answer);
+            target.start(start, takesMs, chance(TASK_FAILURE_PERCENT), answer);
         } else {
             target.stop((CellAction.StopRun) order, answer);
         }
--- a/core/src/test/java/org/boragegap/core/cell/OverloadTest.java
+++ b/core/src/test/java/org/boragegap/core/cell/OverloadTest.java
@@ -22,17 +22,18 @@
     private static final double[] SPEEDS = {0.8, 1.0, 1.25};
 
     /** The same arrivals on the same slots, first come first served, without refusal. */
-    private static LoadedCell.Score firstComeFirstServed(List<LoadedCell.Arrival> arrivals) {
+    private static LoadSimulation.Score firstComeFirstServed(
+            List<LoadSimulation.Arrival> arrivals) {
         PriorityQueue<double[]> slots = new PriorityQueue<>(Comparator.comparingDouble(s -> s[0]));
         for (int i = 0; i < 32; i++) {
             for (int slot = 0; slot < (i % 3 == 2 ? 3 : 2); slot++) {
                 slots.add(new double[] {0, SPEEDS[i % 3]});
             }
         }
-        LoadedCell.Score score = new LoadedCell.Score();
-        Deque<LoadedCell.Arrival> queue = new ArrayDeque<>(arrivals);
+        LoadSimulation.Score score = new LoadSimulation.Score();
+        Deque<LoadSimulation.Arrival> queue = new ArrayDeque<>(arrivals);
         while (!queue.isEmpty()) {
-            LoadedCell.Arrival arrival = queue.poll();
+            LoadSimulation.Arrival arrival = queue.poll();
             double endMs = 0;
             for (int task = 0; task < arrival.width(); task++) {
                 double[] slot = slots.poll();
@@ -47,16 +48,20 @@
 
     @Test
     void mostIsInTimeAndNoKindStarves() {
-        List<LoadedCell.Arrival> arrivals = LoadedCell.arrivals(7, JOBS_PER_S, LENGTH_MS);
-        LoadedCell.Score baseline = firstComeFirstServed(arrivals);
-        LoadedCell cell = new LoadedCell(arrivals, LENGTH_MS, LoadedCell.LostOrders.none());
-        LoadedCell.Score score = cell.play();
+        List<LoadSimulation.Arrival> arrivals = LoadSimulation.arrivals(7, JOBS_PER_S, LENGTH_MS);
+        LoadSimulation.Score baseline = firstComeFirstServed(arrivals);
+        LoadSimulation cell =
+                new LoadSimulation(arrivals, LENGTH_MS, LoadSimulation.LostOrders.none());
+        LoadSimulation.Score score = cell.simulate();
         System.out.printf(
                 "overload: in time %.2f, worst kind %.2f; first come first served %.2f, %.2f%n",
-                score.all(), score.worstKind(), baseline.all(), baseline.worstKind());
-        assertThat(cell.broken()).isEmpty();
-        assertThat(score.all()).isAtLeast(0.8);
-        assertThat(score.worstKind()).isAtLeast(0.7);
-        assertThat(score.all()).isAtLeast(2 * baseline.all());
+                score.inTimeShare(),
+                score.worstInTimeShare(),
+                baseline.inTimeShare(),
+                baseline.worstInTimeShare());
+        assertThat(cell.violations()).isEmpty();
+        assertThat(score.inTimeShare()).isAtLeast(0.8);
+        assertThat(score.worstInTimeShare()).isAtLeast(0.7);
+        assertThat(score.inTimeShare()).isAtLeast(2 * baseline.inTimeShare());
     }
 }
--- a/core/src/test/java/org/boragegap/core/cell/EntryDeskTest.java
+++ b/core/src/test/java/org/boragegap/core/cell/PendingJobsTest.java
@@ -9,22 +9,23 @@
 import org.junit.jupiter.api.Test;
 
 /** What one entry VM does with the jobs of its callers. */
-final class EntryDeskTest {
+final class PendingJobsTest {
     private static final String JOB = "00000000000000aa";
     private static final String OTHER_JOB = "00000000000000ab";
 
-    private final EntryDesk mDesk = EntryDesk.create(new HeartbeatPace(), new ClockReading(0, 0));
+    private final PendingJobs mPendingJobs =
+            PendingJobs.create(new HeartbeatPace(), new ClockReading(0, 0));
     private long mNowMs = 1_000;
 
     private List<EntryAction> on(EntryEvent event) {
         List<EntryAction> actions = new ArrayList<>();
-        mDesk.on(event, new ClockReading(mNowMs, mNowMs), actions);
+        mPendingJobs.on(event, new ClockReading(mNowMs, mNowMs), actions);
         actions.removeIf(EntryAction.Log.class::isInstance);
         return actions;
     }
 
     private static JobRequest request(String job) {
-        StepRequest step = StepRequest.plain(1, 1_000, 100);
+        StepRequest step = StepRequest.cpuOnly(1, 1_000, 100);
         return new JobRequest(job, "queue", "service", 0, 3, 1.6, 60, "", List.of(step), 1);
     }
 
@@ -37,7 +38,7 @@
     }
 
     private static CellMessage.Offer offer(List<EntryAction> actions) {
-        return (CellMessage.Offer) ((EntryAction.Tell) actions.get(0)).message();
+        return (CellMessage.Offer) ((EntryAction.Send) actions.get(0)).message();
     }
 
     private static Verdict verdict(List<EntryAction> actions) {
@@ -55,7 +56,7 @@
             Verdict done = new Verdict.Completed();
             assertThat(verdict(on(new EntryEvent.Decided(JOB, offer.number(), done))))
                     .isEqualTo(done);
-            assertThat(mDesk.waiting()).isEqualTo(0);
+            assertThat(mPendingJobs.waitingCallers()).isEqualTo(0);
         }
 
         @Test
@@ -72,7 +73,7 @@
          * once, and says that it is the second, so that it isn't taken for surely not started.
          */
         @Test
-        void aNextControllerIsOfferedWhatWaits() {
+        void waitingJobsAreOfferedToTheNextController() {
             on(new EntryEvent.ControllerHeard("vm1", 7));
             submit(1);
             CellMessage.Offer again = offer(on(new EntryEvent.ControllerHeard("vm2", 9)));
@@ -81,10 +82,10 @@
         }
 
         @Test
-        void anEarlierControllerIsPassedOver() {
+        void anEarlierControllerIsIgnored() {
             on(new EntryEvent.ControllerHeard("vm2", 9));
             assertThat(on(new EntryEvent.ControllerHeard("vm1", 7))).isEmpty();
-            assertThat(mDesk.controller(mNowMs)).hasValue("vm2");
+            assertThat(mPendingJobs.controller(mNowMs)).hasValue("vm2");
         }
     }
 
@@ -101,7 +102,7 @@
             on(new EntryEvent.ControllerHeard("vm2", 9));
             Verdict refused = new Verdict.Declined("too late", 1_000);
             assertThat(on(new EntryEvent.Decided(JOB, first.number(), refused))).isEmpty();
-            assertThat(mDesk.waiting()).isEqualTo(1);
+            assertThat(mPendingJobs.waitingCallers()).isEqualTo(1);
         }
 
         @Test
@@ -125,7 +126,7 @@
 
         /** The job was offered and may run: the caller is not told that it has not. */
         @Test
-        void whatWasOfferedOnceEndsInDoubt() {
+        void anOfferedJobWithoutAVerdictEndsInDoubt() {
             on(new EntryEvent.ControllerHeard("vm1", 7));
             submit(1);
             mNowMs += 2_000;
@@ -148,7 +149,7 @@
         void aCallerThatLeavesWithdrawsItsJob() {
             on(new EntryEvent.ControllerHeard("vm1", 7));
             submit(1);
-            EntryAction.Tell tell = (EntryAction.Tell) on(new EntryEvent.CallerLeft(1)).get(0);
+            EntryAction.Send tell = (EntryAction.Send) on(new EntryEvent.CallerLeft(1)).get(0);
             assertThat(tell.message()).isEqualTo(new CellMessage.Withdraw(JOB));
         }
     }
--- a/core/src/test/java/org/boragegap/core/cell/RefusingTargetTest.java
+++ b/core/src/test/java/org/boragegap/core/cell/RefusingTargetTest.java
@@ -25,7 +25,7 @@
         mCell.listed(5, FIRST, SECOND);
         mCell.offer(10, JOB, 1);
         mStart = mCell.starts().get(0);
-        mCell.take(12, mStart);
+        mCell.acceptStart(12, mStart);
     }
 
     private void refuseUntil(long untilMs) {
@@ -51,7 +51,7 @@
     @Test
     void itIsGivenNoWork() {
         refuseUntil(300);
-        mCell.forget();
+        mCell.clearActions();
         mCell.offer(310, "00000000000000e2", 2);
         assertThat(mCell.startedOn()).doesNotContain(mStart.target().id());
     }
@@ -63,7 +63,7 @@
         mCell.ticks(310, 420);
         TargetReport.RunningRow at = new TargetReport.RunningRow(mStart.task(), mStart.run(), 50);
         mCell.report(430, mStart.target().id(), List.of(at), List.of());
-        mCell.forget();
+        mCell.clearActions();
         mCell.offer(440, "00000000000000e2", 3);
         assertThat(mCell.startedOn()).contains(mStart.target().id());
     }
--- a/core/src/test/java/org/boragegap/core/cell/ReplacedTargetTest.java
+++ b/core/src/test/java/org/boragegap/core/cell/ReplacedTargetTest.java
@@ -47,7 +47,7 @@
         @Test
         void theOrderIsNoCrash() {
             mCell.answer(12, mStart, OrderResult.OTHER_INCARNATION);
-            assertThat(mCell.actions(CellAction.TellCrash.class)).isEmpty();
+            assertThat(mCell.actions(CellAction.BroadcastCrash.class)).isEmpty();
         }
     }
 
@@ -60,7 +60,7 @@
         void theLostRunStartsElsewhereAtOnce() {
             mCell.offer(10, OTHER_JOB, 1);
             CellAction.StartRun lost = mCell.starts().get(0);
-            mCell.take(12, lost);
+            mCell.acceptStart(12, lost);
             mCell.offer(20, JOB, 3);
             CellAction.StartRun replaced =
                     mCell.starts().stream()
@@ -68,11 +68,11 @@
                             .filter(start -> start.target().equals(lost.target()))
                             .findFirst()
                             .orElseThrow();
-            mCell.forget();
+            mCell.clearActions();
             mCell.answer(25, replaced, OrderResult.OTHER_INCARNATION);
-            assertThat(mCell.actions(CellAction.TellCrash.class))
+            assertThat(mCell.actions(CellAction.BroadcastCrash.class))
                     .containsExactly(
-                            new CellAction.TellCrash(
+                            new CellAction.BroadcastCrash(
                                     lost.task(), lost.target().id(), CrashEvidence.CONFIRMED));
             assertThat(mCell.startedOn()).doesNotContain(lost.target().id());
         }
@@ -83,8 +83,8 @@
         /** Guards against a refusal as impossible while all targets that could hold it restart. */
         @Test
         void aJobWaitsForTheirSuccessors() {
-            mCell.reborn(100, FIRST.id());
-            mCell.reborn(100, SECOND.id());
+            mCell.answerAsReplacement(100, FIRST.id());
+            mCell.answerAsReplacement(100, SECOND.id());
             mCell.offer(110, JOB, 1);
             assertThat(mCell.verdicts()).isEmpty();
             TargetInfo reborn = ScriptedCell.target("t9", FIRST.address(), "a", 2_000);
@@ -97,8 +97,8 @@
         /** Guards against a job that waits for targets which don't come back. */
         @Test
         void aJobThatNobodyCanHoldIsRefusedSoon() {
-            mCell.reborn(100, FIRST.id());
-            mCell.reborn(100, SECOND.id());
+            mCell.answerAsReplacement(100, FIRST.id());
+            mCell.answerAsReplacement(100, SECOND.id());
             mCell.ticks(110, 2_700);
             mCell.offer(2_710, JOB, 1);
             assertThat(mCell.verdicts().get(0)).isInstanceOf(Verdict.Declined.class);
@@ -112,7 +112,7 @@
 
         /** The first is found gone, its successor takes a task and falls silent until it lapses. */
         private void runOnTheSuccessorUntilItLapses() {
-            mCell.reborn(10, FIRST.id());
+            mCell.answerAsReplacement(10, FIRST.id());
             mCell.listed(20, ScriptedCell.leaving(SECOND), REBORN);
             mCell.report(30, REBORN.id(), List.of(), List.of());
             mCell.on(300, new CellEvent.Ticked());
@@ -120,9 +120,9 @@
             mCell.offer(320, JOB, 1);
             CellAction.StartRun start = mCell.starts().get(0);
             assertThat(start.target().id()).isEqualTo(REBORN.id());
-            mCell.take(330, start);
+            mCell.acceptStart(330, start);
             mCell.ticks(340, LAPSED_MS);
-            mCell.forget();
+            mCell.clearActions();
         }
 
         /** Guards against the entry of a target that is gone being taken for a later one. */
@@ -130,7 +130,7 @@
         void itIsNotReplacedByAnEntryOfItsPredecessor() {
             runOnTheSuccessorUntilItLapses();
             mCell.listed(LAPSED_MS + 10, FIRST, SECOND, REBORN);
-            assertThat(mCell.actions(CellAction.TellCrash.class)).isEmpty();
+            assertThat(mCell.actions(CellAction.BroadcastCrash.class)).isEmpty();
         }
 
         /** Guards against a target that answers being taken for crashed by its own answer. */
@@ -144,16 +144,16 @@
             mCell.offer(3_320, JOB, 1);
             CellAction.StartRun start = mCell.starts().get(0);
             assertThat(start.target().id()).isEqualTo(REBORN.id());
-            mCell.take(3_330, start);
+            mCell.acceptStart(3_330, start);
             mCell.ticks(3_340, 9_000);
-            mCell.reborn(9_010, FIRST.id());
-            assertThat(mCell.actions(CellAction.TellCrash.class)).isEmpty();
+            mCell.answerAsReplacement(9_010, FIRST.id());
+            assertThat(mCell.actions(CellAction.BroadcastCrash.class)).isEmpty();
         }
 
         /** Guards against calls to a target that is gone for as long as its entry stands. */
         @Test
         void nothingMoreIsSentToThePredecessor() {
-            mCell.reborn(10, FIRST.id());
+            mCell.answerAsReplacement(10, FIRST.id());
             int calls = mCell.actions(CellAction.ExtendLease.class).size();
             mCell.listed(20, FIRST, SECOND);
             assertThat(mCell.actions(CellAction.ExtendLease.class)).hasSize(calls);
--- a/core/src/test/java/org/boragegap/core/cell/ReportedAbsenceTest.java
+++ b/core/src/test/java/org/boragegap/core/cell/ReportedAbsenceTest.java
@@ -50,7 +50,7 @@
             mCell.listed(5, FIRST, SECOND);
             mCell.offer(10, JOB, 1);
             mStart = mCell.starts().get(0);
-            mCell.take(12, mStart);
+            mCell.acceptStart(12, mStart);
             report(20, List.of(new TargetReport.RunningRow(TASK, mStart.run(), 50)), List.of());
         }
 
--- a/core/src/test/java/org/boragegap/core/cell/ScriptedCell.java
+++ b/core/src/test/java/org/boragegap/core/cell/ScriptedCell.java
@@ -13,7 +13,7 @@
 
     private final CellController mController = CellController.create(new CellSettings(LEASE_MS, 2));
     private final List<CellAction> mActions = new ArrayList<>();
-    private long mNextOffer = 1;
+    private long mNextOfferNumber = 1;
 
     /** A target with room for tasks of 1,000 thousandths of a core. */
     static TargetInfo target(String id, String address, String domain, int cpuMillis) {
@@ -37,7 +37,7 @@
     }
 
     void on(long ms, CellEvent event) {
-        mController.actsUntil(ms + LEASE_MS);
+        mController.exclusiveUntil(ms + LEASE_MS);
         mController.on(event, new ClockReading(ms, ms), mActions);
     }
 
@@ -75,7 +75,7 @@
     }
 
     /** The target at that address answers the last lease call as another incarnation. */
-    void reborn(long ms, String target) {
+    void answerAsReplacement(long ms, String target) {
         OrderResult cause = OrderResult.OTHER_INCARNATION;
         on(ms, new CellEvent.LeaseFailed(target, lastCall(target), cause));
     }
@@ -98,17 +98,17 @@
      * thousandths of a core in.
      */
     void offer(long ms, String job, int tasks) {
-        offer(ms, job, StepRequest.plain(tasks, 1_000, 100));
+        offer(ms, job, StepRequest.cpuOnly(tasks, 1_000, 100));
     }
 
     void offer(long ms, String job, StepRequest... steps) {
         JobRequest request =
                 new JobRequest(job, "queue", "service", 0, 1, 1.6, 600, "", List.of(steps), 1);
-        on(ms, new CellEvent.Offered("vm1", request, 0, BUDGET_MS, 1, mNextOffer++));
+        on(ms, new CellEvent.Offered("vm1", request, 0, BUDGET_MS, 1, mNextOfferNumber++));
     }
 
     /** The target takes a start. */
-    void take(long ms, CellAction.StartRun start) {
+    void acceptStart(long ms, CellAction.StartRun start) {
         answer(ms, start, OrderResult.DONE);
     }
 
@@ -141,7 +141,7 @@
         return actions(CellAction.Answer.class).stream().map(CellAction.Answer::verdict).toList();
     }
 
-    void forget() {
+    void clearActions() {
         mActions.removeIf(action -> !(action instanceof CellAction.ExtendLease));
     }
 }
--- a/wire/src/main/java/org/boragegap/wire/RecordFields.java
+++ b/wire/src/main/java/org/boragegap/wire/RecordFields.java
@@ -45,7 +45,7 @@
     static void packJob(MessagePacker packer, JobRequest job) throws IOException {
         packer.packString(job.id()).packString(job.queue()).packString(job.service());
         packer.packInt(job.urgency()).packInt(job.maxAttempts());
-        packer.packDouble(job.stretch()).packLong(job.aimMs()).packString(job.spec());
+        packer.packDouble(job.stretch()).packLong(job.objectiveBaseMs()).packString(job.spec());
         packer.packInt(job.steps().size());
         for (StepRequest step : job.steps()) {
             packStep(packer, step);
@@ -84,8 +84,8 @@
             packer.packInt(before);
         }
         packOptional(packer, step.requiredLabel());
-        packOptional(packer, step.nearRack());
-        packer.packInt(step.mostPerTarget());
+        packOptional(packer, step.preferredRack());
+        packer.packInt(step.maxPerTarget());
     }
 
     private static StepRequest unpackStep(MessageUnpacker unpacker) throws IOException {
