--- a/core/src/main/java/org/boragegap/core/cell/AdmissionControl.java
+++ b/core/src/main/java/org/boragegap/core/cell/AdmissionControl.java
@@ -65,8 +65,8 @@
         double slots = 0;
         for (Target target : mTerm.targets().values()) {
             boolean usable = target.reported() && !target.lost() && !target.info().draining();
-            usable &= mTerm.evacuations().allow(target.info());
-            if (usable && !target.avoided()) {
+            usable &= mTerm.evacuations().allows(target.info());
+            if (usable && !target.quarantined()) {
                 slots += Math.floor(target.info().cpuMillis() / Math.max(1, cpuMillis));
             }
         }
--- a/core/src/main/java/org/boragegap/core/cell/CellController.java
+++ b/core/src/main/java/org/boragegap/core/cell/CellController.java
@@ -27,15 +27,15 @@
     private final CellSettings mSettings;
     private final RunTimeEstimator mRunTimes = new RunTimeEstimator();
     private final Evacuations mEvacuations = new Evacuations();
-    private final CrashAccount mCrashes = new CrashAccount();
+    private final CrashHistory mCrashes = new CrashHistory();
 
     /** Jobs that have started, each with the fencing token of the last term that knew of it. */
     private final RecentJobs<Long> mStarted = new RecentJobs<>();
 
     private long mNextCall = 1;
     private Term mTerm;
-    private LeaseKeeper mLeases;
-    private CrashWatch mCrashWatch;
+    private LeaseManager mLeases;
+    private CrashDetector mCrashWatch;
     private RunTracker mRuns;
     private JobLifecycle mJobs;
     private Placement mPlacement;
@@ -104,7 +104,7 @@
         } else if (event instanceof CellEvent.DomainsEvacuated evacuated) {
             evacuate(evacuated, actions);
         } else if (event instanceof CellEvent.CrashReported told) {
-            mCrashes.crashed(told.task(), told.target(), told.evidence(), clock.monotonicMs());
+            mCrashes.recordCrash(told.task(), told.target(), told.evidence(), clock.monotonicMs());
         }
         if (mTerm == null) {
             return;
@@ -120,9 +120,9 @@
         mTerm = new Term(fence, clock.monotonicMs(), mEvacuations, mCrashes, mStarted);
         mTerm.at(clock.monotonicMs(), actions);
         mTerm.actsUntil(mExclusiveUntilMs);
-        mCrashWatch = new CrashWatch(mTerm);
+        mCrashWatch = new CrashDetector(mTerm);
         mRuns = new RunTracker(mTerm, mRunTimes, mCrashWatch);
-        mLeases = new LeaseKeeper(mTerm, mRuns, mCrashWatch, () -> mNextCall++);
+        mLeases = new LeaseManager(mTerm, mRuns, mCrashWatch, () -> mNextCall++);
         mPlacement = new Placement(mTerm, mSettings);
         mJobs =
                 new JobLifecycle(
@@ -153,7 +153,7 @@
 
     private void evacuate(CellEvent.DomainsEvacuated event, List<CellAction> actions) {
         String before = mEvacuations.toString();
-        if (mEvacuations.told(event.domains()) && mTerm != null) {
+        if (mEvacuations.update(event.domains()) && mTerm != null) {
             String inputs = "domains=" + mEvacuations + " before=" + before;
             Decision decision = Decision.self("evacuate", inputs, "starts nothing there");
             actions.add(new CellAction.Log(decision));
@@ -162,7 +162,7 @@
 
     private void handle(CellEvent event) {
         if (event instanceof CellEvent.TargetsListed listed) {
-            mLeases.listed(listed.targets());
+            mLeases.updateTargets(listed.targets());
             mJobs.refuseInfeasible();
         } else if (event instanceof CellEvent.DomainsEvacuated) {
             mJobs.refuseInfeasible();
@@ -171,11 +171,11 @@
         } else if (event instanceof CellEvent.Withdrawn withdrawn) {
             mJobs.withdrawn(withdrawn);
         } else if (event instanceof CellEvent.CrashReported told) {
-            mCrashWatch.told(told.task());
+            mCrashWatch.crashReported(told.task());
         } else if (event instanceof CellEvent.LeaseExtended extended) {
-            mLeases.extended(extended);
+            mLeases.leaseExtended(extended);
         } else if (event instanceof CellEvent.LeaseFailed failed) {
-            mLeases.failed(failed);
+            mLeases.leaseFailed(failed);
         } else if (event instanceof CellEvent.StartAnswered answered) {
             mRuns.startAnswered(answered);
         } else if (event instanceof CellEvent.StopAnswered answered) {
@@ -201,7 +201,7 @@
             return true;
         }
         // No controller asks for a longer lease than this, whatever a target may grant.
-        long leaseMs = Math.min(mSettings.leaseMaxMs(), LeaseKeeper.LEASE_MS);
+        long leaseMs = Math.min(mSettings.leaseMaxMs(), LeaseManager.LEASE_MS);
         long boundMs = (long) (leaseMs / MIN_CLOCK_RATE) + SETTLE_MARGIN_MS;
         long ageMs = mTerm.nowMs() - mTerm.sinceMs();
         boolean over = ageMs > boundMs && !mTerm.targets().isEmpty();
@@ -234,7 +234,7 @@
      * every target.
      */
     private void startTasks() {
-        int roomCpu = mPlacement.largestRoomCpu();
+        int roomCpu = mPlacement.maxFreeCpu();
         for (Iterator<CellJob> it = mTerm.waiting().iterator(); it.hasNext() && roomCpu >= 0; ) {
             CellJob job = it.next();
             if (job.abandoned() || job.minTaskCpu() > roomCpu) {
@@ -243,7 +243,7 @@
             if (startTasks(job)) {
                 it.remove();
             }
-            roomCpu = mPlacement.largestRoomCpu();
+            roomCpu = mPlacement.maxFreeCpu();
         }
     }
 
--- a/core/src/main/java/org/boragegap/core/cell/LossWatch.java
+++ b/core/src/main/java/org/boragegap/core/cell/CorrelatedLossDetector.java
@@ -11,28 +11,28 @@
  * <p>Guards against tasks that are suspected after the loss of a rack or the restart of many
  * targets: each of them would be given a target for itself.
  */
-final class LossWatch {
+final class CorrelatedLossDetector {
     /** So many other targets lost in the same moment have a common cause outside the task. */
-    private static final int COMMON_CAUSE_TARGETS = 3;
+    private static final int MIN_CORRELATED_TARGETS = 3;
 
     /** What is found lost within this time of each other, in ms, was lost in the same moment. */
-    private static final long SAME_MOMENT_MS = 1_000;
+    private static final long CORRELATION_WINDOW_MS = 1_000;
 
     private record Loss(Set<String> jobs, long atMs) {}
 
     private final Term mTerm;
     private final Map<String, Loss> mLosses = new LinkedHashMap<>();
 
-    LossWatch(Term term) {
+    CorrelatedLossDetector(Term term) {
         mTerm = term;
     }
 
     /** Notes the loss of a target; one whose leases were found to be over was noted then. */
-    void note(Target target) {
+    void targetLost(Target target) {
         if (target.lost()) {
             return;
         }
-        long beforeMs = mTerm.nowMs() - SAME_MOMENT_MS;
+        long beforeMs = mTerm.nowMs() - CORRELATION_WINDOW_MS;
         mLosses.values().removeIf(loss -> loss.atMs() < beforeMs);
         Set<String> jobs = new HashSet<>();
         target.runs().keySet().forEach(task -> jobs.add(task.job()));
@@ -44,7 +44,7 @@
      * cause outside the run's task. Those with tasks of its own job don't count: the job may crash
      * them all.
      */
-    boolean haveCommonCause(LostRun run) {
+    boolean isCorrelated(LostRun run) {
         String job = run.task().job();
         int others = 0;
         for (Map.Entry<String, Loss> loss : mLosses.entrySet()) {
@@ -52,23 +52,25 @@
             others += other && !loss.getValue().jobs().contains(job) ? 1 : 0;
         }
         for (Target target : mTerm.targets().values()) {
-            if (others >= COMMON_CAUSE_TARGETS) {
+            if (others >= MIN_CORRELATED_TARGETS) {
                 break;
             }
             others +=
-                    fellSilent(target) && !target.id().equals(run.target()) && !runs(target, job)
+                    becameUnresponsive(target)
+                                    && !target.id().equals(run.target())
+                                    && !runsJob(target, job)
                             ? 1
                             : 0;
         }
-        return others >= COMMON_CAUSE_TARGETS;
+        return others >= MIN_CORRELATED_TARGETS;
     }
 
     /** True for a target that was heard of in this term, and whose leases are not over yet. */
-    private static boolean fellSilent(Target target) {
-        return target.reported() && !target.lost() && target.calls().silent();
+    private static boolean becameUnresponsive(Target target) {
+        return target.reported() && !target.lost() && target.calls().unresponsive();
     }
 
-    private static boolean runs(Target target, String job) {
+    private static boolean runsJob(Target target, String job) {
         return target.runs().keySet().stream().anyMatch(task -> task.job().equals(job));
     }
 }
--- a/core/src/main/java/org/boragegap/core/cell/CrashWatch.java
+++ b/core/src/main/java/org/boragegap/core/cell/CrashDetector.java
@@ -4,16 +4,16 @@
 import java.util.Optional;
 
 /** Notes in one term which targets have crashed under which tasks, and gives such tasks up. */
-final class CrashWatch {
+final class CrashDetector {
     private final Term mTerm;
-    private final CrashAccount mAccount;
-    private final LossWatch mLosses;
+    private final CrashHistory mHistory;
+    private final CorrelatedLossDetector mLossDetector;
     private JobLifecycle mJobs;
 
-    CrashWatch(Term term) {
+    CrashDetector(Term term) {
         mTerm = term;
-        mAccount = term.crashes();
-        mLosses = new LossWatch(term);
+        mHistory = term.crashes();
+        mLossDetector = new CorrelatedLossDetector(term);
     }
 
     /** Connects what depends on each other; to be called once, before use. */
@@ -22,11 +22,11 @@
     }
 
     /** The leases of what runs on the target are over; one that was leaving has left. */
-    void lapsed(Target target) {
+    void recordLeaseExpiry(Target target) {
         if (target.info().draining()) {
             return;
         }
-        mAccount.lapsed(target.info(), noteLoss(target), mTerm.nowMs());
+        mHistory.recordLeaseExpiry(target.info(), recordLoss(target), mTerm.nowMs());
     }
 
     /**
@@ -34,16 +34,16 @@
      *
      * @return what was at work there, or may have been
      */
-    List<LostRun> noteLoss(Target target) {
-        mLosses.note(target);
+    List<LostRun> recordLoss(Target target) {
+        mLossDetector.targetLost(target);
         return LostRun.of(target.runs().values()).stream()
-                .map(run -> mLosses.haveCommonCause(run) ? run.coincident() : run)
+                .map(run -> mLossDetector.isCorrelated(run) ? run.asCoincident() : run)
                 .toList();
     }
 
     /** The target has answered; what lapsed on it did so for another cause than a crash. */
-    void heardOf(Target target) {
-        mAccount.heardOf(target.id());
+    void targetAnswered(Target target) {
+        mHistory.targetAnswered(target.id());
     }
 
     /**
@@ -52,41 +52,42 @@
      *
      * @param runs what was lost with it
      */
-    void replaced(TargetInfo gone, List<LostRun> runs) {
-        List<LostRun> lapsed = mAccount.takeLapsed(gone.id(), mTerm.nowMs());
+    void targetReplaced(TargetInfo gone, List<LostRun> runs) {
+        List<LostRun> lapsed = mHistory.takeExpired(gone.id(), mTerm.nowMs());
         if (!gone.draining()) {
-            count(runs, "replaced");
-            count(lapsed, "lapsed, then replaced");
+            recordCrashes(runs, "replaced");
+            recordCrashes(lapsed, "lapsed, then replaced");
         }
     }
 
     /** A target was listed that wasn't before. */
-    void appeared(TargetInfo target) {
-        count(mAccount.takeLapsedBefore(target, mTerm.nowMs()), "lapsed, then listed");
+    void newTargetListed(TargetInfo target) {
+        recordCrashes(
+                mHistory.takeExpiredPredecessors(target, mTerm.nowMs()), "lapsed, then listed");
     }
 
-    private void count(List<LostRun> runs, String found) {
+    private void recordCrashes(List<LostRun> runs, String found) {
         for (LostRun run : runs) {
             TaskName task = run.task();
-            mAccount.crashed(task, run.target(), run.evidence(), mTerm.nowMs());
+            mHistory.recordCrash(task, run.target(), run.evidence(), mTerm.nowMs());
             mTerm.act(new CellAction.BroadcastCrash(task, run.target(), run.evidence()));
-            log(run, runs.size() - 1, found, verdictOn(task).isPresent());
-            told(task);
+            logCrash(run, runs.size() - 1, found, verdictOn(task).isPresent());
+            crashReported(task);
         }
     }
 
     /** More is known of crashes under the task. */
-    void told(TaskName task) {
+    void crashReported(TaskName task) {
         CellJob job = mTerm.jobs().get(task.job());
         if (job != null) {
-            job.task(task).ifPresent(this::giveUp);
+            job.task(task).ifPresent(this::endJobIfCrashLimitReached);
         }
     }
 
-    private void log(LostRun run, int beside, String found, boolean givenUp) {
+    private void logCrash(LostRun run, int beside, String found, boolean givenUp) {
         String inputs =
                 "crashes="
-                        + mAccount.count(run.task())
+                        + mHistory.crashCount(run.task())
                         + " run="
                         + run.number()
                         + " evidence="
@@ -97,7 +98,7 @@
                         + beside
                         + " found="
                         + found;
-        String apart = mAccount.suspects(run.task()) ? "runs apart from now on" : "not suspected";
+        String apart = mHistory.isSuspect(run.task()) ? "runs apart from now on" : "not suspected";
         String outcome = givenUp ? "given up" : apart;
         mTerm.log(Decision.run("crash", run.task(), run.target(), inputs, outcome));
     }
@@ -105,7 +106,7 @@
     /**
      * Ends the job of a task that would have to start again, but is started no more; true if so.
      */
-    boolean giveUp(CellTask task) {
+    boolean endJobIfCrashLimitReached(CellTask task) {
         Optional<Verdict> verdict = task.idle() ? verdictOn(task.name()) : Optional.empty();
         verdict.ifPresent(end -> mJobs.end(task.job(), end));
         return verdict.isPresent();
@@ -120,6 +121,6 @@
     }
 
     private Optional<Verdict> verdictOn(TaskName task) {
-        return mAccount.verdictOn(task, mTerm.nowMs());
+        return mHistory.verdictOn(task, mTerm.nowMs());
     }
 }
--- a/core/src/main/java/org/boragegap/core/cell/CrashEvidence.java
+++ b/core/src/main/java/org/boragegap/core/cell/CrashEvidence.java
@@ -24,12 +24,12 @@
     }
 
     /** True when the task is more likely to have crashed the target than anything else. */
-    boolean suspicious() {
+    boolean implicatesTask() {
         return this != COINCIDENT;
     }
 
     /** The stronger of two. */
-    CrashEvidence or(CrashEvidence other) {
+    CrashEvidence stronger(CrashEvidence other) {
         return compareTo(other) >= 0 ? this : other;
     }
 }
--- a/core/src/main/java/org/boragegap/core/cell/CrashAccount.java
+++ b/core/src/main/java/org/boragegap/core/cell/CrashHistory.java
@@ -22,37 +22,37 @@
  * <p>A lapse proves no crash: the target may be beyond a cut and run on. What had run there is kept
  * until another incarnation answers at that address, or the same one is heard of again.
  */
-final class CrashAccount {
+final class CrashHistory {
     /** Confirmed crashes after which a task is started no more: one may have had another cause. */
-    private static final int CONFIRMED_TO_GIVE_UP = 2;
+    private static final int CONFIRMED_CRASH_LIMIT = 2;
 
     /**
      * Crashes of any evidence after which it is started no more either, with the targets that have
      * lapsed under it and were not heard of since. A task may crash its target before the order to
      * start it is answered, and the successor may be seen late, or in another cell.
      */
-    private static final int POSSIBLE_TO_GIVE_UP = 4;
+    private static final int TOTAL_CRASH_LIMIT = 4;
 
     /**
      * How long a crash counts, in ms: a caller hands a job in again some seconds after its time is
      * over, and a crashed target is back some seconds later.
      */
-    private static final long KEEP_MS = 60_000;
+    private static final long RETENTION_MS = 60_000;
 
     /** Most tasks of which crashes are remembered. */
-    private static final int MOST_TASKS = 2_000;
+    private static final int MAX_TASKS = 2_000;
 
     private record Crashes(Map<String, CrashEvidence> byTarget, long atMs) {
         static final Crashes NONE = new Crashes(Map.of(), 0);
 
         Crashes with(String target, CrashEvidence evidence, long nowMs) {
             Map<String, CrashEvidence> more = new LinkedHashMap<>(byTarget);
-            more.merge(target, evidence, CrashEvidence::or);
+            more.merge(target, evidence, CrashEvidence::stronger);
             return new Crashes(more, nowMs);
         }
 
-        boolean suspicious() {
-            return byTarget.values().stream().anyMatch(CrashEvidence::suspicious);
+        boolean implicatesTask() {
+            return byTarget.values().stream().anyMatch(CrashEvidence::implicatesTask);
         }
 
         long confirmed() {
@@ -60,42 +60,42 @@
         }
     }
 
-    private record Lapsed(String address, List<LostRun> runs, long atMs) {}
+    private record ExpiredTarget(String address, List<LostRun> runs, long atMs) {}
 
     private final Map<TaskName, Crashes> mCrashes = new LinkedHashMap<>();
-    private final Map<String, Lapsed> mLapsed = new HashMap<>();
+    private final Map<String, ExpiredTarget> mExpiredTargets = new HashMap<>();
 
     /** The leases of what ran on the target are over; it may have crashed. */
-    void lapsed(TargetInfo target, List<LostRun> runs, long nowMs) {
+    void recordLeaseExpiry(TargetInfo target, List<LostRun> runs, long nowMs) {
         if (!runs.isEmpty()) {
-            mLapsed.put(target.id(), new Lapsed(target.address(), runs, nowMs));
+            mExpiredTargets.put(target.id(), new ExpiredTarget(target.address(), runs, nowMs));
         }
     }
 
     /** The target has answered: it has not crashed. */
-    void heardOf(String target) {
-        mLapsed.remove(target);
+    void targetAnswered(String target) {
+        mExpiredTargets.remove(target);
     }
 
     /** Takes what lapsed on a target that is gone; it counts once. */
-    List<LostRun> takeLapsed(String target, long nowMs) {
-        forget(nowMs);
-        return takeLapsed(target);
+    List<LostRun> takeExpired(String target, long nowMs) {
+        evict(nowMs);
+        return takeExpired(target);
     }
 
-    private List<LostRun> takeLapsed(String target) {
-        Lapsed lapsed = mLapsed.remove(target);
+    private List<LostRun> takeExpired(String target) {
+        ExpiredTarget lapsed = mExpiredTargets.remove(target);
         return lapsed == null ? List.of() : lapsed.runs();
     }
 
     /** Takes what lapsed on earlier targets at the address of a new one; it counts once. */
-    List<LostRun> takeLapsedBefore(TargetInfo successor, long nowMs) {
-        forget(nowMs);
+    List<LostRun> takeExpiredPredecessors(TargetInfo successor, long nowMs) {
+        evict(nowMs);
         List<LostRun> runs = new ArrayList<>();
-        for (String target : List.copyOf(mLapsed.keySet())) {
-            boolean there = mLapsed.get(target).address().equals(successor.address());
+        for (String target : List.copyOf(mExpiredTargets.keySet())) {
+            boolean there = mExpiredTargets.get(target).address().equals(successor.address());
             if (there && !target.equals(successor.id())) {
-                runs.addAll(takeLapsed(target));
+                runs.addAll(takeExpired(target));
             }
         }
         return runs;
@@ -105,25 +105,25 @@
      * A target has crashed under the task, as this VM or another one has found. Told again, it
      * counts once.
      */
-    void crashed(TaskName task, String target, CrashEvidence evidence, long nowMs) {
+    void recordCrash(TaskName task, String target, CrashEvidence evidence, long nowMs) {
         Crashes known = crashes(task);
         // Taken out first: an entry that is written over would keep its place among the oldest.
         mCrashes.remove(task);
         mCrashes.put(task, known.with(target, evidence, nowMs));
-        forget(nowMs);
+        evict(nowMs);
     }
 
     /** Drops what is too old or too much, from the oldest on. */
-    private void forget(long nowMs) {
+    private void evict(long nowMs) {
         Iterator<Crashes> it = mCrashes.values().iterator();
         while (it.hasNext()) {
-            boolean old = nowMs - it.next().atMs() > KEEP_MS;
-            if (!old && mCrashes.size() <= MOST_TASKS) {
+            boolean old = nowMs - it.next().atMs() > RETENTION_MS;
+            if (!old && mCrashes.size() <= MAX_TASKS) {
                 break;
             }
             it.remove();
         }
-        mLapsed.values().removeIf(lapsed -> nowMs - lapsed.atMs() > KEEP_MS);
+        mExpiredTargets.values().removeIf(lapsed -> nowMs - lapsed.atMs() > RETENTION_MS);
     }
 
     private Crashes crashes(TaskName task) {
@@ -131,24 +131,24 @@
     }
 
     /** How many targets have crashed under the task, or may have. */
-    int count(TaskName task) {
+    int crashCount(TaskName task) {
         return crashes(task).byTarget().size();
     }
 
     /** True when a target has crashed under the task, and the task may be the cause. */
-    boolean suspects(TaskName task) {
-        return !mCrashes.isEmpty() && crashes(task).suspicious();
+    boolean isSuspect(TaskName task) {
+        return !mCrashes.isEmpty() && crashes(task).implicatesTask();
     }
 
     /** True when any of the tasks is suspected. */
-    boolean suspectsAny(Collection<TaskName> tasks) {
-        return !mCrashes.isEmpty() && tasks.stream().anyMatch(this::suspects);
+    boolean anySuspect(Collection<TaskName> tasks) {
+        return !mCrashes.isEmpty() && tasks.stream().anyMatch(this::isSuspect);
     }
 
     /** Targets that are silent since their leases are over, which the task ran on. */
-    private Set<String> lapsedUnder(TaskName task) {
+    private Set<String> expiredTargetsRunning(TaskName task) {
         Set<String> targets = new LinkedHashSet<>();
-        mLapsed.forEach(
+        mExpiredTargets.forEach(
                 (target, lapsed) -> {
                     if (lapsed.runs().stream().anyMatch(run -> run.task().equals(task))) {
                         targets.add(target);
@@ -163,16 +163,15 @@
      * end of a run is lost with the target.
      */
     Optional<Verdict> verdictOn(TaskName task, long nowMs) {
-        if (mCrashes.isEmpty() && mLapsed.isEmpty()) {
+        if (mCrashes.isEmpty() && mExpiredTargets.isEmpty()) {
             return Optional.empty();
         }
-        forget(nowMs);
+        evict(nowMs);
         Crashes crashes = crashes(task);
         Set<String> targets = new LinkedHashSet<>(crashes.byTarget().keySet());
-        targets.addAll(lapsedUnder(task));
+        targets.addAll(expiredTargetsRunning(task));
         boolean givenUp =
-                crashes.confirmed() >= CONFIRMED_TO_GIVE_UP
-                        || targets.size() >= POSSIBLE_TO_GIVE_UP;
+                crashes.confirmed() >= CONFIRMED_CRASH_LIMIT || targets.size() >= TOTAL_CRASH_LIMIT;
         if (!givenUp) {
             return Optional.empty();
         }
--- a/core/src/main/java/org/boragegap/core/cell/Evacuations.java
+++ b/core/src/main/java/org/boragegap/core/cell/Evacuations.java
@@ -25,7 +25,7 @@
      * @param domains all failure domains that are to be empty
      * @return true when it says something else than before
      */
-    boolean told(Set<String> domains) {
+    boolean update(Set<String> domains) {
         boolean changed = !mKnown || !mDomains.equals(domains);
         mKnown = true;
         mDomains = Set.copyOf(domains);
@@ -33,7 +33,7 @@
     }
 
     /** True when tasks may be started on the target, as far as operators are concerned. */
-    boolean allow(TargetInfo target) {
+    boolean allows(TargetInfo target) {
         return mKnown && !mDomains.contains(target.failureDomain());
     }
 
--- a/core/src/main/java/org/boragegap/core/cell/JobLifecycle.java
+++ b/core/src/main/java/org/boragegap/core/cell/JobLifecycle.java
@@ -40,7 +40,7 @@
     private final Placement mPlacement;
     private final AdmissionControl mAdmission;
     private final RunTracker mRuns;
-    private final CrashWatch mCrashes;
+    private final CrashDetector mCrashes;
     private final Map<String, KeptVerdict> mVerdicts = new LinkedHashMap<>();
     private final Map<OfferKey, Refusal> mRefusals = new LinkedHashMap<>();
 
@@ -49,7 +49,7 @@
             Placement placement,
             AdmissionControl admission,
             RunTracker runs,
-            CrashWatch crashes) {
+            CrashDetector crashes) {
         mTerm = term;
         mPlacement = placement;
         mAdmission = admission;
@@ -113,7 +113,7 @@
             return;
         }
         long waitMs = mAdmission.expectedWaitMs(job);
-        boolean hopeless = mAdmission.tooLate(job, waitMs) && !mPlacement.roomFor(job);
+        boolean hopeless = mAdmission.tooLate(job, waitMs) && !mPlacement.hasFreeTargetFor(job);
         if (hopeless && !job.mayHaveStarted()) {
             refuse(offer.entryVm(), offer.number(), job, "would wait too long", waitMs);
             return;
@@ -141,7 +141,7 @@
     }
 
     private boolean isInfeasible(CellJob job) {
-        return mTerm.areTargetsKnown() && !mPlacement.possible(job.request());
+        return mTerm.areTargetsKnown() && !mPlacement.isFeasible(job.request());
     }
 
     private void refuse(String entry, long number, CellJob job, String reason, long waitMs) {
--- a/core/src/main/java/org/boragegap/core/cell/LeaseCalls.java
+++ b/core/src/main/java/org/boragegap/core/cell/LeaseCalls.java
@@ -16,10 +16,10 @@
      * Calls in a row, overdue or not sent, after which the target counts as silent: one lost answer
      * is not.
      */
-    private static final int OVERDUE_TO_BE_SILENT = 2;
+    private static final int CALLS_UNTIL_UNRESPONSIVE = 2;
 
     /** The pause between two standing calls doubles with each overdue one, this often at most. */
-    private static final int MOST_DOUBLINGS = 3;
+    private static final int MAX_BACKOFF_DOUBLINGS = 3;
 
     /**
      * A call.
@@ -39,48 +39,48 @@
         }
     }
 
-    private final Map<Long, Call> mUnderWay = new HashMap<>();
-    private Call mStanding;
-    private Call mLook;
-    private int mOverdueInRow;
-    private int mNotSentInRow;
-    private long mNextMs;
+    private final Map<Long, Call> mInFlight = new HashMap<>();
+    private Call mLongPoll;
+    private Call mReportRequest;
+    private int mConsecutiveOverdue;
+    private int mConsecutiveNotSent;
+    private long mNextLongPollMs;
     private long mAnsweredMs;
 
-    void standingSent(Call call) {
-        mUnderWay.put(call.number(), call);
-        mStanding = call;
+    void longPollSent(Call call) {
+        mInFlight.put(call.number(), call);
+        mLongPoll = call;
     }
 
-    void lookSent(Call call) {
-        mUnderWay.put(call.number(), call);
-        mLook = call;
+    void reportRequestSent(Call call) {
+        mInFlight.put(call.number(), call);
+        mReportRequest = call;
     }
 
     /** True when a report is under way that was asked for less than a timeout ago. */
-    boolean looks(long nowMs, long timeoutMs) {
-        return mLook != null && nowMs - mLook.sentMs() <= timeoutMs;
+    boolean reportRequestPending(long nowMs, long timeoutMs) {
+        return mReportRequest != null && nowMs - mReportRequest.sentMs() <= timeoutMs;
     }
 
     /** Takes a call off the list; empty for one that is not under way. */
-    Optional<Call> end(long number) {
-        Call call = mUnderWay.remove(number);
-        if (call != null && call == mStanding) {
-            mStanding = null;
+    Optional<Call> complete(long number) {
+        Call call = mInFlight.remove(number);
+        if (call != null && call == mLongPoll) {
+            mLongPoll = null;
         }
-        if (call != null && call == mLook) {
-            mLook = null;
+        if (call != null && call == mReportRequest) {
+            mReportRequest = null;
         }
         return Optional.ofNullable(call);
     }
 
     /** The target has answered; true when an answer before this one was overdue. */
     boolean answered(long nowMs) {
-        boolean lost = mOverdueInRow > 0;
-        mOverdueInRow = 0;
-        mNotSentInRow = 0;
+        boolean lost = mConsecutiveOverdue > 0;
+        mConsecutiveOverdue = 0;
+        mConsecutiveNotSent = 0;
         mAnsweredMs = nowMs;
-        mNextMs = nowMs;
+        mNextLongPollMs = nowMs;
         return lost;
     }
 
@@ -90,58 +90,60 @@
     }
 
     /** Sends no standing call for a while. */
-    void pause(long untilMs) {
-        mNextMs = untilMs;
+    void delayLongPoll(long untilMs) {
+        mNextLongPollMs = untilMs;
     }
 
     /** True when a standing call should be sent. */
-    boolean due(long nowMs) {
-        return mStanding == null && nowMs >= mNextMs;
+    boolean longPollDue(long nowMs) {
+        return mLongPoll == null && nowMs >= mNextLongPollMs;
     }
 
     /**
      * True when a standing call that may be held back for longer than {@code waitMs} has been
      * waited for that long since there is something at work.
      */
-    boolean outgrown(long nowMs, long busySinceMs, long waitMs) {
-        return mStanding != null
-                && mStanding.waitMs() > waitMs
-                && nowMs - Math.max(mStanding.sentMs(), busySinceMs) >= waitMs;
+    boolean longPollTooLong(long nowMs, long busySinceMs, long waitMs) {
+        return mLongPoll != null
+                && mLongPoll.waitMs() > waitMs
+                && nowMs - Math.max(mLongPoll.sentMs(), busySinceMs) >= waitMs;
     }
 
     /** Gives up waiting for the standing call when its answer is overdue; true if so. */
-    boolean overdue(long nowMs, long timeoutMs) {
-        if (mStanding == null) {
+    boolean dropOverdueLongPoll(long nowMs, long timeoutMs) {
+        if (mLongPoll == null) {
             return false;
         }
         long allowedMs =
-                mStanding.waitMs() + (timeoutMs << Math.min(mOverdueInRow, MOST_DOUBLINGS));
-        if (nowMs - mStanding.sentMs() <= allowedMs) {
+                mLongPoll.waitMs()
+                        + (timeoutMs << Math.min(mConsecutiveOverdue, MAX_BACKOFF_DOUBLINGS));
+        if (nowMs - mLongPoll.sentMs() <= allowedMs) {
             return false;
         }
-        mStanding = null;
-        mOverdueInRow++;
-        mNextMs = nowMs;
+        mLongPoll = null;
+        mConsecutiveOverdue++;
+        mNextLongPollMs = nowMs;
         return true;
     }
 
     /** A call couldn't be sent, since the target takes no connection. */
     void notSent() {
-        mNotSentInRow++;
+        mConsecutiveNotSent++;
     }
 
     /** An order of another kind is overdue. */
     void orderOverdue() {
-        mOverdueInRow = Math.max(mOverdueInRow, 1);
+        mConsecutiveOverdue = Math.max(mConsecutiveOverdue, 1);
     }
 
     /** True when the last order got no answer in time, or couldn't be sent. */
-    boolean lastWasOverdue() {
-        return mOverdueInRow > 0 || mNotSentInRow > 0;
+    boolean lastOrderFailed() {
+        return mConsecutiveOverdue > 0 || mConsecutiveNotSent > 0;
     }
 
     /** True when the target gives no answer at all, as far as is known. */
-    boolean silent() {
-        return mOverdueInRow >= OVERDUE_TO_BE_SILENT || mNotSentInRow >= OVERDUE_TO_BE_SILENT;
+    boolean unresponsive() {
+        return mConsecutiveOverdue >= CALLS_UNTIL_UNRESPONSIVE
+                || mConsecutiveNotSent >= CALLS_UNTIL_UNRESPONSIVE;
     }
 }
--- a/core/src/main/java/org/boragegap/core/cell/LeaseKeeper.java
+++ b/core/src/main/java/org/boragegap/core/cell/LeaseManager.java
@@ -9,7 +9,7 @@
 import java.util.function.LongSupplier;
 
 /** Keeps the list of targets, extends their leases and asks for their reports. */
-final class LeaseKeeper {
+final class LeaseManager {
     /** Lease that each order asks for, in ms; targets grant a second at the most. */
     static final long LEASE_MS = 1_000;
 
@@ -17,27 +17,27 @@
      * How long a target may wait for an end before it answers a lease call, in ms. A lost call is
      * noticed and sent again while over a quarter of the lease is left.
      */
-    private static final long WAIT_MS = 300;
+    private static final long LONG_POLL_MS = 300;
 
     /**
      * Least time that a target may wait for an end while answers are lost, in ms. A lost call
      * leaves the controller blind for as long as the target was allowed to wait, so it is sent
      * again soon after the next end is expected.
      */
-    private static final long LEAST_WAIT_MS = 15;
+    private static final long MIN_LONG_POLL_MS = 15;
 
     /**
      * The same where nothing runs, in ms: there is no lease to be extended, and a target that has
      * died shows by its first start without an answer. It buys fewer calls. Not longer, since each
      * start that goes to a dead one costs its caller a second.
      */
-    private static final long IDLE_WAIT_MS = 1_000;
+    private static final long IDLE_LONG_POLL_MS = 1_000;
 
     /** Pause before a failed lease call is sent again, in ms. */
-    private static final long RETRY_MS = 100;
+    private static final long RETRY_DELAY_MS = 100;
 
     /** An end that is heard of this much later, in ms, still tells how long a run took. */
-    private static final long EXACT_MS = 10;
+    private static final long EXACT_END_TOLERANCE_MS = 10;
 
     /** Kept after the computed end of a lease, in ms: rounding of two clocks to milliseconds. */
     private static final long LEASE_SLACK_MS = 20;
@@ -49,17 +49,17 @@
     private static final long UNLISTED_GRACE_MS = 2_500;
 
     /** How long an entry in the list may outlast its target, in ms; stale reads included. */
-    private static final long ENTRY_OUTLASTS_MS = 60_000;
+    private static final long STALE_ENTRY_MS = 60_000;
 
     /**
      * A target is given no work for this time after it was first seen, in ms: the other entry VMs
      * are told of it first, so that a next controller knows where to look for what runs.
      */
-    private static final long ANNOUNCE_MS = 200;
+    private static final long ANNOUNCEMENT_DELAY_MS = 200;
 
     private final Term mTerm;
     private final RunTracker mRuns;
-    private final CrashWatch mCrashes;
+    private final CrashDetector mCrashes;
     private final LongSupplier mCallNumbers;
     private List<TargetInfo> mAnnounced = List.of();
 
@@ -72,7 +72,7 @@
      * @param callNumbers a new number for each call, over all terms of this VM: an answer to a call
      *     of an earlier term says nothing of this one
      */
-    LeaseKeeper(Term term, RunTracker runs, CrashWatch crashes, LongSupplier callNumbers) {
+    LeaseManager(Term term, RunTracker runs, CrashDetector crashes, LongSupplier callNumbers) {
         mTerm = term;
         mRuns = runs;
         mCrashes = crashes;
@@ -87,12 +87,12 @@
         for (TargetInfo info : infos) {
             Target target = new Target(info, mTerm.nowMs(), earlierLeaseEndMs());
             mTerm.targets().put(info.id(), target);
-            call(target);
+            sendLongPoll(target);
         }
-        announce();
+        announceTargets();
     }
 
-    void listed(List<TargetInfo> infos) {
+    void updateTargets(List<TargetInfo> infos) {
         mTerm.targetsListed();
         Set<String> ids = new HashSet<>();
         for (TargetInfo info : infos) {
@@ -102,31 +102,31 @@
             }
             Target known = mTerm.targets().get(info.id());
             if (known == null) {
-                long openMs = mTerm.nowMs() + ANNOUNCE_MS;
+                long openMs = mTerm.nowMs() + ANNOUNCEMENT_DELAY_MS;
                 Target target = new Target(info, openMs, earlierLeaseEndMs());
                 mTerm.targets().put(info.id(), target);
                 mTerm.targetAppeared(info);
-                mCrashes.appeared(info);
-                call(target);
+                mCrashes.newTargetListed(info);
+                sendLongPoll(target);
             } else {
-                noteDraining(known, info);
-                known.listed(info);
+                logDrainStart(known, info);
+                known.updateInfo(info);
             }
         }
         for (Target target : mTerm.targets().values()) {
             if (!ids.contains(target.id())) {
-                target.unlisted(mTerm.nowMs());
+                target.markUnlisted(mTerm.nowMs());
             }
         }
-        announce();
+        announceTargets();
     }
 
     /** Until when a lease that an earlier controller gave just now may last. */
     private long earlierLeaseEndMs() {
-        return mTerm.nowMs() + (long) Math.ceil(LEASE_MS / Target.SLOWEST_CLOCK);
+        return mTerm.nowMs() + (long) Math.ceil(LEASE_MS / Target.MIN_CLOCK_RATE);
     }
 
-    private void announce() {
+    private void announceTargets() {
         List<TargetInfo> infos = new ArrayList<>();
         mTerm.targets().values().forEach(target -> infos.add(target.info()));
         if (!infos.equals(mAnnounced)) {
@@ -135,7 +135,7 @@
         }
     }
 
-    private void noteDraining(Target known, TargetInfo info) {
+    private void logDrainStart(Target known, TargetInfo info) {
         if (info.draining() && !known.info().draining()) {
             mTerm.log(Decision.target("drain", info.id(), "listed=draining", "starts nothing"));
         }
@@ -146,36 +146,39 @@
      * that is silent is asked by the standing call alone, which is repeated: asked for each of its
      * runs in every turn, it had no connection left when it was back after a cut.
      */
-    void look(Target target) {
-        boolean silent = target.calls().silent();
-        if (!silent && !target.calls().looks(mTerm.nowMs(), target.roundTrips().timeoutMs())) {
-            lookAgain(target);
+    void requestReport(Target target) {
+        boolean silent = target.calls().unresponsive();
+        if (!silent
+                && !target.calls()
+                        .reportRequestPending(mTerm.nowMs(), target.roundTrips().timeoutMs())) {
+            requestNewReport(target);
         }
     }
 
     /** Asks for a report at once: one that is under way was asked for too early. */
-    void lookAgain(Target target) {
-        target.calls().lookSent(send(target, 0));
+    void requestNewReport(Target target) {
+        target.calls().reportRequestSent(send(target, 0));
     }
 
-    private void call(Target target) {
-        target.calls().standingSent(send(target, target.reported() ? waitMs(target) : 0));
+    private void sendLongPoll(Target target) {
+        target.calls().longPollSent(send(target, target.reported() ? longPollWaitMs(target) : 0));
     }
 
     /** How long the target may hold the standing call back. */
-    private long waitMs(Target target) {
-        if (target.calls().silent()) {
+    private long longPollWaitMs(Target target) {
+        if (target.calls().unresponsive()) {
             return 0;
         }
         if (!target.busy()) {
-            boolean doubtful = mTerm.losesAnswers() || target.calls().lastWasOverdue();
-            return doubtful ? WAIT_MS : IDLE_WAIT_MS;
+            boolean doubtful = mTerm.losesAnswers() || target.calls().lastOrderFailed();
+            return doubtful ? LONG_POLL_MS : IDLE_LONG_POLL_MS;
         }
         if (!mTerm.losesAnswers() || target.runs().isEmpty()) {
-            return WAIT_MS;
+            return LONG_POLL_MS;
         }
         long endMs = mRuns.expectedNextEndMs(target);
-        return Math.max(LEAST_WAIT_MS, Math.min(WAIT_MS, endMs - mTerm.nowMs() + LEAST_WAIT_MS));
+        return Math.max(
+                MIN_LONG_POLL_MS, Math.min(LONG_POLL_MS, endMs - mTerm.nowMs() + MIN_LONG_POLL_MS));
     }
 
     /**
@@ -186,8 +189,8 @@
     private LeaseCalls.Call send(Target target, long waitMs) {
         long call = mCallNumbers.getAsLong();
         long untilMs = 0;
-        if (target.reported() && !target.calls().silent()) {
-            untilMs = target.leaseUntil(mTerm.nowMs(), LEASE_MS, mTerm.actsUntilMs());
+        if (target.reported() && !target.calls().unresponsive()) {
+            untilMs = target.leaseEndOnTargetClock(mTerm.nowMs(), LEASE_MS, mTerm.actsUntilMs());
             target.leaseSent(untilMs);
         }
         mTerm.act(
@@ -201,26 +204,28 @@
         return new LeaseCalls.Call(call, mTerm.nowMs(), waitMs);
     }
 
-    void extended(CellEvent.LeaseExtended event) {
+    void leaseExtended(CellEvent.LeaseExtended event) {
         Target target = mTerm.targets().get(event.target());
         if (target == null) {
             return;
         }
-        target.calls().end(event.call()).ifPresent(call -> extended(target, call, event.report()));
+        target.calls()
+                .complete(event.call())
+                .ifPresent(call -> leaseExtended(target, call, event.report()));
     }
 
-    private void extended(Target target, LeaseCalls.Call call, TargetReport report) {
+    private void leaseExtended(Target target, LeaseCalls.Call call, TargetReport report) {
         boolean first = !target.reported();
         if (first || target.lost()) {
             mTerm.log(Decision.target("target", target.id(), "report=yes", "in use"));
-            mCrashes.heardOf(target);
+            mCrashes.targetAnswered(target);
         }
         if (call.waitMs() == 0) {
             target.roundTrips().add(mTerm.nowMs() - call.sentMs());
         }
         boolean exact = endsAreExact(target, call);
-        boolean inOrder = target.readClock(report.clockMs(), mTerm.nowMs());
-        heardOf(target);
+        boolean inOrder = target.updateClock(report.clockMs(), mTerm.nowMs());
+        targetAnswered(target);
         if (inOrder) {
             mRuns.reported(target, report, call.sentMs(), exact);
         } else {
@@ -228,14 +233,14 @@
             // doesn't list may have begun since, so it proves no absence.
             mRuns.ended(target, report, exact);
         }
-        if (first || target.calls().due(mTerm.nowMs())) {
+        if (first || target.calls().longPollDue(mTerm.nowMs())) {
             // The first answer tells the target's clock; no call before could extend its lease.
-            call(target);
+            sendLongPoll(target);
         }
     }
 
     /** The target has answered an order. */
-    void heardOf(Target target) {
+    void targetAnswered(Target target) {
         if (target.calls().answered(mTerm.nowMs())) {
             mTerm.answerLost();
         }
@@ -247,17 +252,17 @@
      */
     private boolean endsAreExact(Target target, LeaseCalls.Call call) {
         boolean held = call.wasHeld(mTerm.nowMs(), target.roundTrips().timeoutMs());
-        return held || mTerm.nowMs() - target.calls().answeredMs() <= EXACT_MS;
+        return held || mTerm.nowMs() - target.calls().answeredMs() <= EXACT_END_TOLERANCE_MS;
     }
 
-    void failed(CellEvent.LeaseFailed event) {
+    void leaseFailed(CellEvent.LeaseFailed event) {
         Target target = mTerm.targets().get(event.target());
-        if (target == null || target.calls().end(event.call()).isEmpty()) {
+        if (target == null || target.calls().complete(event.call()).isEmpty()) {
             return;
         }
         if (event.cause() != OrderResult.UNKNOWN) {
             // A call without an answer was replaced already, when it was overdue.
-            target.calls().pause(mTerm.nowMs() + RETRY_MS);
+            target.calls().delayLongPoll(mTerm.nowMs() + RETRY_DELAY_MS);
         }
         if (event.cause() == OrderResult.NOT_SENT) {
             target.calls().notSent();
@@ -265,31 +270,31 @@
         if (event.cause() == OrderResult.FENCED) {
             mTerm.act(new CellAction.Deposed());
         } else if (event.cause() == OrderResult.OTHER_INCARNATION) {
-            replaced(target);
+            targetReplaced(target);
         }
     }
 
     /** Another incarnation answers at the target's address: all that ran there has ended. */
-    void replaced(Target target) {
-        List<LostRun> runs = mCrashes.noteLoss(target);
+    void targetReplaced(Target target) {
+        List<LostRun> runs = mCrashes.recordLoss(target);
         mRuns.releaseAll(target, "another incarnation");
         mTerm.targets().remove(target.id());
         mReplaced.put(target.id(), mTerm.nowMs());
         mTerm.expectSuccessor(target.info());
-        mCrashes.replaced(target.info(), runs);
+        mCrashes.targetReplaced(target.info(), runs);
     }
 
     void tick() {
-        mReplaced.values().removeIf(sinceMs -> mTerm.nowMs() - sinceMs > ENTRY_OUTLASTS_MS);
+        mReplaced.values().removeIf(sinceMs -> mTerm.nowMs() - sinceMs > STALE_ENTRY_MS);
         for (Target target : new ArrayList<>(mTerm.targets().values())) {
-            if (lapsed(target)) {
+            if (isExpired(target)) {
                 mTerm.log(
                         Decision.target(
                                 "lapse",
                                 target.id(),
                                 "silent_ms=" + (mTerm.nowMs() - target.calls().answeredMs()),
                                 "its runs start elsewhere"));
-                mCrashes.lapsed(target);
+                mCrashes.recordLeaseExpiry(target);
                 mRuns.releaseAll(target, "lease over");
             }
             boolean gone = target.unlistedFor(mTerm.nowMs(), UNLISTED_GRACE_MS);
@@ -297,7 +302,7 @@
                 mTerm.log(Decision.target("forget", target.id(), "listed=no", "not in use"));
                 mTerm.targets().remove(target.id());
             } else {
-                callAgain(target);
+                renewLongPoll(target);
             }
         }
     }
@@ -308,15 +313,15 @@
      * that the call gave may end before the answer comes. One whose answer is overdue lapses as any
      * other.
      */
-    private boolean lapsed(Target target) {
-        boolean idle = !target.busy() && !target.calls().lastWasOverdue();
-        return !target.lost() && !idle && target.leaseOver(mTerm.nowMs(), LEASE_SLACK_MS);
+    private boolean isExpired(Target target) {
+        boolean idle = !target.busy() && !target.calls().lastOrderFailed();
+        return !target.lost() && !idle && target.leaseExpired(mTerm.nowMs(), LEASE_SLACK_MS);
     }
 
-    private void callAgain(Target target) {
-        target.calls().overdue(mTerm.nowMs(), target.roundTrips().timeoutMs());
-        if (target.calls().due(mTerm.nowMs()) || outgrown(target)) {
-            call(target);
+    private void renewLongPoll(Target target) {
+        target.calls().dropOverdueLongPoll(mTerm.nowMs(), target.roundTrips().timeoutMs());
+        if (target.calls().longPollDue(mTerm.nowMs()) || longPollTooLong(target)) {
+            sendLongPoll(target);
         }
     }
 
@@ -326,9 +331,10 @@
      * which lasts for a second from its start, and against an end that goes unheard if the call was
      * lost on its way. A shorter run needs no further call: its end answers the standing one.
      */
-    private boolean outgrown(Target target) {
+    private boolean longPollTooLong(Target target) {
         return target.busy()
-                && target.calls().outgrown(mTerm.nowMs(), target.busySinceMs(), WAIT_MS);
+                && target.calls()
+                        .longPollTooLong(mTerm.nowMs(), target.busySinceMs(), LONG_POLL_MS);
     }
 
     /** True when each known target has reported in this term. */
--- a/core/src/main/java/org/boragegap/core/cell/LostRun.java
+++ b/core/src/main/java/org/boragegap/core/cell/LostRun.java
@@ -16,7 +16,7 @@
 record LostRun(TaskName task, int number, String target, CrashEvidence evidence, long orderedMs) {
 
     /** The same, where the loss of the target has a cause outside the task. */
-    LostRun coincident() {
+    LostRun asCoincident() {
         return new LostRun(task, number, target, CrashEvidence.COINCIDENT, orderedMs);
     }
 
--- a/core/src/main/java/org/boragegap/core/cell/OrderResult.java
+++ b/core/src/main/java/org/boragegap/core/cell/OrderResult.java
@@ -20,7 +20,7 @@
     UNKNOWN;
 
     /** True when the target that the order was for has answered it. */
-    boolean fromTarget() {
+    boolean answeredByTarget() {
         return this != UNKNOWN && this != NOT_SENT && this != OTHER_INCARNATION;
     }
 }
--- a/core/src/main/java/org/boragegap/core/cell/Placement.java
+++ b/core/src/main/java/org/boragegap/core/cell/Placement.java
@@ -16,7 +16,7 @@
         Target best = null;
         double bestSpeed = 0;
         for (Target target : mTerm.targets().values()) {
-            if (!allowed(task, target)) {
+            if (!canPlace(task, target)) {
                 continue;
             }
             double speed = speed(task.step(), target);
@@ -35,7 +35,7 @@
     /**
      * The largest room on a target that may be given work, in thousandths of a core; -1 if none.
      */
-    int largestRoomCpu() {
+    int maxFreeCpu() {
         int largest = -1;
         for (Target target : mTerm.targets().values()) {
             if (target.freeCpu() > largest && mTerm.takesWork(target)) {
@@ -45,30 +45,31 @@
         return largest;
     }
 
-    private boolean allowed(CellTask task, Target target) {
+    private boolean canPlace(CellTask task, Target target) {
         StepRequest step = task.step();
         if (!target.fits(step) || !mTerm.takesWork(target)) {
             return false;
         }
-        if (!serves(task.job().request(), step, target.info()) || !keepsApart(task, target)) {
+        if (!isCompatible(task.job().request(), step, target.info())
+                || !respectsIsolation(task, target)) {
             return false;
         }
         return step.maxPerTarget() == 0
-                || target.runsOf(task.name().job(), task.name().step()) < step.maxPerTarget();
+                || target.runCount(task.name().job(), task.name().step()) < step.maxPerTarget();
     }
 
     /**
      * A task under which a target has crashed runs alone: were it the cause, the next crash would
      * take others' tasks with it, and they would be suspected in their turn.
      */
-    private boolean keepsApart(CellTask task, Target target) {
-        CrashAccount crashes = mTerm.crashes();
-        boolean apart = !target.busy() || !crashes.suspects(task.name());
-        return apart && !crashes.suspectsAny(target.runs().keySet());
+    private boolean respectsIsolation(CellTask task, Target target) {
+        CrashHistory crashes = mTerm.crashes();
+        boolean apart = !target.busy() || !crashes.isSuspect(task.name());
+        return apart && !crashes.anySuspect(target.runs().keySet());
     }
 
-    private static boolean serves(JobRequest request, StepRequest step, TargetInfo info) {
-        return info.service().equals(request.service()) && info.couldHold(step);
+    private static boolean isCompatible(JobRequest request, StepRequest step, TargetInfo info) {
+        return info.service().equals(request.service()) && info.canHold(step);
     }
 
     private double speed(StepRequest step, Target target) {
@@ -79,27 +80,27 @@
     }
 
     /** True when for each step of the job some listed target could run its tasks. */
-    boolean possible(JobRequest request) {
-        return request.steps().stream().allMatch(step -> possible(request, step));
+    boolean isFeasible(JobRequest request) {
+        return request.steps().stream().allMatch(step -> isFeasible(request, step));
     }
 
-    private boolean possible(JobRequest request, StepRequest step) {
+    private boolean isFeasible(JobRequest request, StepRequest step) {
         for (Target target : mTerm.targets().values()) {
-            if (possible(request, step, target.info())) {
+            if (isFeasible(request, step, target.info())) {
                 return true;
             }
         }
         // A target that has just restarted is expected to be of the kind that it was.
         return mTerm.predecessorsOfExpected().stream()
-                .anyMatch(info -> possible(request, step, info));
+                .anyMatch(info -> isFeasible(request, step, info));
     }
 
-    private boolean possible(JobRequest request, StepRequest step, TargetInfo info) {
-        return mTerm.evacuations().allow(info) && serves(request, step, info);
+    private boolean isFeasible(JobRequest request, StepRequest step, TargetInfo info) {
+        return mTerm.evacuations().allows(info) && isCompatible(request, step, info);
     }
 
     /** True when a target is free for a task of this job's first step. */
-    boolean roomFor(CellJob job) {
+    boolean hasFreeTargetFor(CellJob job) {
         return job.readyTasks().stream().findFirst().flatMap(this::choose).isPresent();
     }
 }
--- a/core/src/main/java/org/boragegap/core/cell/RunTracker.java
+++ b/core/src/main/java/org/boragegap/core/cell/RunTracker.java
@@ -43,10 +43,10 @@
     private final TargetHealth mHealth;
     private final Set<TaskName> mForeignDone = new LinkedHashSet<>();
     private JobLifecycle mJobs;
-    private LeaseKeeper mLeases;
-    private final CrashWatch mCrashes;
+    private LeaseManager mLeases;
+    private final CrashDetector mCrashes;
 
-    RunTracker(Term term, RunTimeEstimator times, CrashWatch crashes) {
+    RunTracker(Term term, RunTimeEstimator times, CrashDetector crashes) {
         mTerm = term;
         mRunTimes = times;
         mCrashes = crashes;
@@ -54,7 +54,7 @@
     }
 
     /** Connects what depends on each other; to be called once, before use. */
-    void connect(JobLifecycle jobs, LeaseKeeper leases) {
+    void connect(JobLifecycle jobs, LeaseManager leases) {
         mJobs = jobs;
         mLeases = leases;
     }
@@ -91,7 +91,9 @@
     }
 
     private CellAction.StartRun startOrder(Run run, Target target) {
-        long untilMs = target.leaseUntil(mTerm.nowMs(), LeaseKeeper.LEASE_MS, mTerm.actsUntilMs());
+        long untilMs =
+                target.leaseEndOnTargetClock(
+                        mTerm.nowMs(), LeaseManager.LEASE_MS, mTerm.actsUntilMs());
         target.leaseSent(untilMs);
         CellTask task = run.task();
         return new CellAction.StartRun(
@@ -108,15 +110,15 @@
         if (target == null) {
             return;
         }
-        if (event.result().fromTarget()) {
-            mLeases.heardOf(target);
+        if (event.result().answeredByTarget()) {
+            mLeases.targetAnswered(target);
         }
         if (event.fence() == mTerm.fence()) {
             target.run(event.task(), event.run())
                     .ifPresent(run -> handleStartResult(run, event.result()));
         }
         if (event.result() == OrderResult.OTHER_INCARNATION) {
-            mLeases.replaced(target);
+            mLeases.targetReplaced(target);
         }
     }
 
@@ -142,7 +144,7 @@
         if (run.state() == Run.State.STARTING) {
             run.markUnconfirmed(mTerm.nowMs());
             run.target().calls().orderOverdue();
-            mLeases.lookAgain(run.target());
+            mLeases.requestNewReport(run.target());
         }
     }
 
@@ -155,10 +157,10 @@
             run.task().skipRunsUpTo(run.number() + RUN_NUMBERS_TO_SKIP);
         }
         if (result == OrderResult.NOT_SENT) {
-            run.target().unreachable(mTerm.nowMs() + UNREACHABLE_BACKOFF_MS);
+            run.target().markUnreachable(mTerm.nowMs() + UNREACHABLE_BACKOFF_MS);
         }
         if (result == OrderResult.NOT_RUN || result == OrderResult.NO_ROOM) {
-            mHealth.trouble(run.target());
+            mHealth.recordFailure(run.target());
         }
     }
 
@@ -180,7 +182,7 @@
 
     private void requeue(CellTask task) {
         CellJob job = task.job();
-        if (mTerm.jobs().get(job.id()) == job && !mCrashes.giveUp(task)) {
+        if (mTerm.jobs().get(job.id()) == job && !mCrashes.endJobIfCrashLimitReached(task)) {
             mTerm.waiting().add(job);
         }
     }
@@ -197,7 +199,7 @@
         if (target == null || !event.acknowledged()) {
             return;
         }
-        mLeases.heardOf(target);
+        mLeases.targetAnswered(target);
         target.run(event.task(), event.run()).ifPresent(this::stopAcknowledged);
     }
 
@@ -205,16 +207,16 @@
         run.stopAcknowledged(mTerm.nowMs());
         if (run.state() == Run.State.UNCONFIRMED) {
             // Only a report that is asked for now can show that its room is free.
-            mLeases.lookAgain(run.target());
+            mLeases.requestNewReport(run.target());
         }
     }
 
     /** Takes the ends of a report; {@code exact} when they came about just now. */
     void ended(Target target, TargetReport report, boolean exact) {
-        for (TargetReport.EndedRow row : report.ended()) {
-            if (row.number() > target.acknowledged()) {
+        for (TargetReport.EndedRun row : report.ended()) {
+            if (row.endSequence() > target.acknowledged()) {
                 ended(target, row, exact);
-                target.acknowledge(row.number());
+                target.acknowledge(row.endSequence());
             }
         }
     }
@@ -227,15 +229,15 @@
      */
     void reported(Target target, TargetReport report, long sentMs, boolean exact) {
         ended(target, report, exact);
-        Map<TaskName, TargetReport.RunningRow> listed = new HashMap<>();
-        for (TargetReport.RunningRow row : report.running()) {
+        Map<TaskName, TargetReport.ActiveRun> listed = new HashMap<>();
+        for (TargetReport.ActiveRun row : report.running()) {
             listed.put(row.task(), row);
             running(target, row);
         }
         if (!report.listsAllEnds()) {
             return;
         }
-        target.foreign().keySet().removeIf(foreign -> !listed.containsKey(foreign.task()));
+        target.foreignRuns().keySet().removeIf(foreign -> !listed.containsKey(foreign.task()));
         for (Run run : new ArrayList<>(target.runs().values())) {
             if (listed.containsKey(run.task().name())) {
                 continue;
@@ -248,7 +250,7 @@
         }
     }
 
-    private void running(Target target, TargetReport.RunningRow row) {
+    private void running(Target target, TargetReport.ActiveRun row) {
         mTerm.sawRuns();
         Run run = target.run(row.task(), row.run()).orElse(null);
         if (run != null) {
@@ -257,17 +259,17 @@
         }
         mTerm.noteStarted(row.task().job());
         Target.ForeignRun foreign = new Target.ForeignRun(row.task(), row.run());
-        target.foreign().putIfAbsent(foreign, mTerm.nowMs());
+        target.foreignRuns().putIfAbsent(foreign, mTerm.nowMs());
         CellJob job = mTerm.jobs().get(row.task().job());
         if (job != null) {
             adoptRun(job, target, foreign);
         }
     }
 
-    private void ended(Target target, TargetReport.EndedRow row, boolean exact) {
+    private void ended(Target target, TargetReport.EndedRun row, boolean exact) {
         Run run = target.run(row.task(), row.run()).orElse(null);
         if (run == null) {
-            target.foreign().remove(new Target.ForeignRun(row.task(), row.run()));
+            target.foreignRuns().remove(new Target.ForeignRun(row.task(), row.run()));
             foreignEnded(row);
             return;
         }
@@ -281,13 +283,13 @@
             if (exact) {
                 recordRunTime(run);
             }
-            target.sound();
+            target.recordSuccess();
         }
         if (current && wanted) {
             applyEnd(task, row.cause());
         }
         if (row.cause().countsAsAttempt()) {
-            mHealth.trouble(target);
+            mHealth.recordFailure(target);
         }
     }
 
@@ -329,7 +331,7 @@
         requeue(task);
     }
 
-    private void foreignEnded(TargetReport.EndedRow row) {
+    private void foreignEnded(TargetReport.EndedRun row) {
         mTerm.noteStarted(row.task().job());
         if (row.cause().done()) {
             rememberDone(row.task());
@@ -354,14 +356,14 @@
         String queue = run.task().job().request().queue();
         double tookMs = mTerm.nowMs() - run.confirmedMs();
         double expectedMs = mRunTimes.expectedMs(queue, step);
-        run.target().sample(expectedMs, tookMs);
+        run.target().addSpeedSample(expectedMs, tookMs);
         mRunTimes.add(queue, step, tookMs);
     }
 
     /** Takes over what already runs of a job that was just taken on. */
     void adopt(CellJob job) {
         for (Target target : mTerm.targets().values()) {
-            for (Target.ForeignRun foreign : List.copyOf(target.foreign().keySet())) {
+            for (Target.ForeignRun foreign : List.copyOf(target.foreignRuns().keySet())) {
                 if (foreign.task().job().equals(job.id())) {
                     adoptRun(job, target, foreign);
                 }
@@ -400,7 +402,7 @@
         Run run = new Run(task, foreign.run(), target, mTerm.nowMs(), Run.State.RUNNING);
         task.assignRun(run);
         job.markMayHaveStarted();
-        target.foreign().remove(foreign);
+        target.foreignRuns().remove(foreign);
         target.add(run);
         mTerm.log(
                 Decision.run("adopt", task.name(), target.id(), "run=" + foreign.run(), "runs on"));
@@ -411,7 +413,7 @@
         for (Run run : new ArrayList<>(target.runs().values())) {
             release(run, cause);
         }
-        target.lose();
+        target.markLost();
     }
 
     void tick() {
@@ -427,12 +429,12 @@
         long timeoutMs = run.target().roundTrips().timeoutMs();
         if (run.startOverdue(mTerm.nowMs(), timeoutMs)) {
             startUnanswered(run);
-        } else if (run.target().calls().silent()) {
+        } else if (run.target().calls().unresponsive()) {
             return;
         } else if (run.stopOverdue(mTerm.nowMs(), timeoutMs)) {
             stop(run);
         } else if (run.awaitsReport()) {
-            mLeases.look(run.target());
+            mLeases.requestReport(run.target());
         } else if (!run.stopRequested() && mHealth.isOverdue(run)) {
             handleOverdue(run);
         }
@@ -441,7 +443,7 @@
     /** The run takes far too long: is it stuck, or was its end not heard of? */
     private void handleOverdue(Run run) {
         if (!mHealth.isStuck(run)) {
-            mLeases.look(run.target());
+            mLeases.requestReport(run.target());
             return;
         }
         mTerm.log(
@@ -454,7 +456,7 @@
                                 + " percent="
                                 + run.percent(),
                         "stopped, to run elsewhere"));
-        mHealth.foundStuck(run);
+        mHealth.recordStuckRun(run);
         stop(run);
     }
 
@@ -468,11 +470,11 @@
     }
 
     private void stopForeign(Target target) {
-        target.foreign()
+        target.foreignRuns()
                 .forEach(
                         (foreign, sinceMs) -> {
                             if (mTerm.nowMs() - sinceMs > FOREIGN_GRACE_MS) {
-                                target.foreign().put(foreign, mTerm.nowMs());
+                                target.foreignRuns().put(foreign, mTerm.nowMs());
                                 mTerm.act(
                                         new CellAction.StopRun(
                                                 target.info(),
--- a/core/src/main/java/org/boragegap/core/cell/Target.java
+++ b/core/src/main/java/org/boragegap/core/cell/Target.java
@@ -13,7 +13,7 @@
  */
 final class Target {
     /** A target's clock may run this much slower than ours; bound of the platform. */
-    static final double SLOWEST_CLOCK = 0.98;
+    static final double MIN_CLOCK_RATE = 0.98;
 
     /** Weight of a new sample of the speed: about the last ten tasks decide. */
     private static final double SPEED_WEIGHT = 0.1;
@@ -22,9 +22,9 @@
     record ForeignRun(TaskName task, int run) {}
 
     private TargetInfo mInfo;
-    private final long mOpenMs;
+    private final long mSchedulableFromMs;
     private final Map<TaskName, Run> mRuns = new LinkedHashMap<>();
-    private final Map<ForeignRun, Long> mForeign = new HashMap<>();
+    private final Map<ForeignRun, Long> mForeignRuns = new HashMap<>();
     private int mUsedCpu;
     private int mUsedMemory;
     private int mUsedAccelerators;
@@ -36,10 +36,10 @@
     private long mAcknowledged;
     private final LeaseCalls mCalls = new LeaseCalls();
     private final RoundTrips mRoundTrips = new RoundTrips();
-    private long mUnlistedMs = -1;
+    private long mUnlistedSinceMs = -1;
     private double mSpeed = 1.0;
-    private int mTroubles;
-    private long mAvoidUntilMs;
+    private int mConsecutiveFailures;
+    private long mQuarantinedUntilMs;
     private long mUnreachableUntilMs;
 
     /**
@@ -54,7 +54,7 @@
      */
     Target(TargetInfo info, long openMs, long leaseEndMs) {
         mInfo = info;
-        mOpenMs = openMs;
+        mSchedulableFromMs = openMs;
         mLeaseEndMs = leaseEndMs;
     }
 
@@ -66,19 +66,19 @@
         return mInfo.id();
     }
 
-    void listed(TargetInfo info) {
+    void updateInfo(TargetInfo info) {
         mInfo = info;
-        mUnlistedMs = -1;
+        mUnlistedSinceMs = -1;
     }
 
-    void unlisted(long nowMs) {
-        if (mUnlistedMs < 0) {
-            mUnlistedMs = nowMs;
+    void markUnlisted(long nowMs) {
+        if (mUnlistedSinceMs < 0) {
+            mUnlistedSinceMs = nowMs;
         }
     }
 
     boolean unlistedFor(long nowMs, long spanMs) {
-        return mUnlistedMs >= 0 && nowMs - mUnlistedMs > spanMs;
+        return mUnlistedSinceMs >= 0 && nowMs - mUnlistedSinceMs > spanMs;
     }
 
     // Runs and room
@@ -87,18 +87,18 @@
         return mRuns;
     }
 
-    Map<ForeignRun, Long> foreign() {
-        return mForeign;
+    Map<ForeignRun, Long> foreignRuns() {
+        return mForeignRuns;
     }
 
     /** True when something runs on it, or may run. */
     boolean busy() {
-        return !mRuns.isEmpty() || !mForeign.isEmpty();
+        return !mRuns.isEmpty() || !mForeignRuns.isEmpty();
     }
 
     /** Since when what runs on it was ordered, in ms; what others have ordered counts as long. */
     long busySinceMs() {
-        if (!mForeign.isEmpty()) {
+        if (!mForeignRuns.isEmpty()) {
             return 0;
         }
         long sinceMs = Long.MAX_VALUE;
@@ -140,23 +140,23 @@
                 && step.accelerators() <= mInfo.accelerators() - mUsedAccelerators;
     }
 
-    long runsOf(String job, int step) {
+    long runCount(String job, int step) {
         return mRuns.keySet().stream()
                 .filter(name -> name.job().equals(job) && name.step() == step)
                 .count();
     }
 
     /** True when it may be given work. */
-    boolean open(long nowMs) {
+    boolean schedulable(long nowMs) {
         return mReported
                 && !mLost
-                && !mCalls.silent()
+                && !mCalls.unresponsive()
                 && !mInfo.draining()
-                && mForeign.isEmpty()
-                && nowMs >= mOpenMs
+                && mForeignRuns.isEmpty()
+                && nowMs >= mSchedulableFromMs
                 && nowMs >= mUnreachableUntilMs
-                && nowMs >= mAvoidUntilMs
-                && (mAvoidUntilMs == 0 || mRuns.isEmpty());
+                && nowMs >= mQuarantinedUntilMs
+                && (mQuarantinedUntilMs == 0 || mRuns.isEmpty());
     }
 
     // Lease and clock
@@ -171,7 +171,7 @@
      * @return false when a later answer came before: several calls are under way at a time, and
      *     answers on different connections overtake each other
      */
-    boolean readClock(long clockMs, long nowMs) {
+    boolean updateClock(long clockMs, long nowMs) {
         boolean first = !mReported;
         boolean later = first || clockMs > mClockMs;
         mReported = true;
@@ -192,8 +192,8 @@
      * Lease end on the target's clock for an order that is sent now: {@code leaseMs} from now, but
      * not after {@code mostMs} on our clock, also if the target's clock is slow.
      */
-    long leaseUntil(long nowMs, long leaseMs, long mostMs) {
-        long cappedMs = mClockMs + (long) ((mostMs - mClockReadMs) * SLOWEST_CLOCK);
+    long leaseEndOnTargetClock(long nowMs, long leaseMs, long mostMs) {
+        long cappedMs = mClockMs + (long) ((mostMs - mClockReadMs) * MIN_CLOCK_RATE);
         return Math.min(clockAt(nowMs) + leaseMs, cappedMs);
     }
 
@@ -202,12 +202,12 @@
      * by ours the lease may last that much longer.
      */
     void leaseSent(long untilMs) {
-        long endMs = mClockReadMs + (long) Math.ceil((untilMs - mClockMs) / SLOWEST_CLOCK);
+        long endMs = mClockReadMs + (long) Math.ceil((untilMs - mClockMs) / MIN_CLOCK_RATE);
         mLeaseEndMs = Math.max(mLeaseEndMs, endMs);
     }
 
     /** True when whatever ran on it has lapsed, and orders still under way will be rejected. */
-    boolean leaseOver(long nowMs, long slackMs) {
+    boolean leaseExpired(long nowMs, long slackMs) {
         return mReported && nowMs > mLeaseEndMs + slackMs;
     }
 
@@ -215,9 +215,9 @@
         return mLost;
     }
 
-    void lose() {
+    void markLost() {
         mLost = true;
-        mForeign.clear();
+        mForeignRuns.clear();
     }
 
     long acknowledged() {
@@ -245,30 +245,30 @@
     }
 
     /** Learns from a run that took {@code tookMs} where {@code expectedMs} was expected. */
-    void sample(double expectedMs, double tookMs) {
+    void addSpeedSample(double expectedMs, double tookMs) {
         double speed = expectedMs / Math.max(1.0, tookMs);
         mSpeed += SPEED_WEIGHT * (Math.min(4.0, speed) - mSpeed);
     }
 
-    void sound() {
-        mTroubles = 0;
-        mAvoidUntilMs = 0;
+    void recordSuccess() {
+        mConsecutiveFailures = 0;
+        mQuarantinedUntilMs = 0;
     }
 
-    int troubled() {
-        return ++mTroubles;
+    int incrementFailures() {
+        return ++mConsecutiveFailures;
     }
 
-    void avoid(long untilMs) {
-        mAvoidUntilMs = untilMs;
+    void quarantine(long untilMs) {
+        mQuarantinedUntilMs = untilMs;
     }
 
     /** Nothing could be sent to it; until then it is given no work. */
-    void unreachable(long untilMs) {
+    void markUnreachable(long untilMs) {
         mUnreachableUntilMs = untilMs;
     }
 
-    boolean avoided() {
-        return mAvoidUntilMs > 0;
+    boolean quarantined() {
+        return mQuarantinedUntilMs > 0;
     }
 }
--- a/core/src/main/java/org/boragegap/core/cell/TargetHealth.java
+++ b/core/src/main/java/org/boragegap/core/cell/TargetHealth.java
@@ -6,12 +6,12 @@
  */
 final class TargetHealth {
     /** Failed runs in a row after which a target is given a rest. */
-    private static final int TROUBLES_TO_AVOID = 3;
+    private static final int QUARANTINE_THRESHOLD = 3;
 
     /** First rest of a target that fails everything, in ms; doubled each time, up to the most. */
-    private static final long FIRST_REST_MS = 500;
+    private static final long MIN_QUARANTINE_MS = 500;
 
-    private static final long MOST_REST_MS = 8_000;
+    private static final long MAX_QUARANTINE_MS = 8_000;
 
     /** A run is stuck after this many times its expected time and a pause, if hardly under way. */
     private static final double STUCK_FACTOR = 2.5;
@@ -19,7 +19,7 @@
     private static final long STUCK_SLACK_MS = 200;
 
     /** No target is taken for slower than this many times the middling one. */
-    private static final double LEAST_SPEED = 0.2;
+    private static final double MIN_SPEED = 0.2;
 
     private final Term mTerm;
     private final RunTimeEstimator mTimes;
@@ -30,14 +30,14 @@
     }
 
     /** A run has failed on the target, or wasn't taken. */
-    void trouble(Target target) {
-        int troubles = target.troubled();
-        if (troubles < TROUBLES_TO_AVOID) {
+    void recordFailure(Target target) {
+        int troubles = target.incrementFailures();
+        if (troubles < QUARANTINE_THRESHOLD) {
             return;
         }
-        int doublings = Math.min(troubles - TROUBLES_TO_AVOID, 10);
-        long restMs = Math.min(MOST_REST_MS, FIRST_REST_MS << doublings);
-        target.avoid(mTerm.nowMs() + restMs);
+        int doublings = Math.min(troubles - QUARANTINE_THRESHOLD, 10);
+        long restMs = Math.min(MAX_QUARANTINE_MS, MIN_QUARANTINE_MS << doublings);
+        target.quarantine(mTerm.nowMs() + restMs);
         mTerm.log(
                 Decision.target(
                         "avoid",
@@ -50,7 +50,7 @@
     long expectedMs(Run run) {
         double expectedMs =
                 mTimes.expectedMs(run.task().job().request().queue(), run.task().step());
-        return Math.round(expectedMs / Math.max(LEAST_SPEED, run.target().speed()));
+        return Math.round(expectedMs / Math.max(MIN_SPEED, run.target().speed()));
     }
 
     /** True when the run should have ended long ago. */
@@ -76,8 +76,8 @@
     }
 
     /** A run that stands still counts as a failed one, and as slow. */
-    void foundStuck(Run run) {
-        run.target().sample(1, STUCK_FACTOR);
-        trouble(run.target());
+    void recordStuckRun(Run run) {
+        run.target().addSpeedSample(1, STUCK_FACTOR);
+        recordFailure(run.target());
     }
 }
--- a/core/src/main/java/org/boragegap/core/cell/TargetInfo.java
+++ b/core/src/main/java/org/boragegap/core/cell/TargetInfo.java
@@ -13,7 +13,7 @@
  * @param memoryMb memory room, in MB
  * @param accelerators accelerators
  * @param labels its kind and its rack
- * @param guarded true when it rejects by itself what doesn't fit
+ * @param enforcesCapacity true when it rejects by itself what doesn't fit
  * @param draining true when it leaves soon
  */
 public record TargetInfo(
@@ -25,11 +25,11 @@
         int memoryMb,
         int accelerators,
         Set<String> labels,
-        boolean guarded,
+        boolean enforcesCapacity,
         boolean draining) {
 
     /** True when the step's tasks could run there if nothing else did. */
-    boolean couldHold(StepRequest step) {
+    boolean canHold(StepRequest step) {
         return step.cpuMillis() <= cpuMillis
                 && step.memoryMb() <= memoryMb
                 && step.accelerators() <= accelerators
--- a/core/src/main/java/org/boragegap/core/cell/TargetReport.java
+++ b/core/src/main/java/org/boragegap/core/cell/TargetReport.java
@@ -9,13 +9,13 @@
  * @param running what runs
  * @param ended what has ended and was not acknowledged yet, oldest first
  */
-public record TargetReport(long clockMs, List<RunningRow> running, List<EndedRow> ended) {
+public record TargetReport(long clockMs, List<ActiveRun> running, List<EndedRun> ended) {
     /** How many ends a target lists at a time; it lists the others once these are acknowledged. */
-    private static final int MOST_ENDED = 500;
+    private static final int MAX_ENDED_RUNS = 500;
 
     /** True when no end can be held back, so that a run that isn't listed is not there. */
     boolean listsAllEnds() {
-        return ended.size() < MOST_ENDED;
+        return ended.size() < MAX_ENDED_RUNS;
     }
 
     /**
@@ -25,15 +25,15 @@
      * @param run number of the start
      * @param percent how far it is, 0 to 100
      */
-    public record RunningRow(TaskName task, int run, int percent) {}
+    public record ActiveRun(TaskName task, int run, int percent) {}
 
     /**
      * A run that has ended.
      *
-     * @param number rises by one with each end of this incarnation, from 1
+     * @param endSequence rises by one with each end of this incarnation, from 1
      * @param task the task
      * @param run number of the start
      * @param cause why it ended
      */
-    public record EndedRow(long number, TaskName task, int run, EndCause cause) {}
+    public record EndedRun(long endSequence, TaskName task, int run, EndCause cause) {}
 }
--- a/core/src/main/java/org/boragegap/core/cell/Term.java
+++ b/core/src/main/java/org/boragegap/core/cell/Term.java
@@ -24,7 +24,7 @@
     private final long mFence;
     private final long mSinceMs;
     private final Evacuations mEvacuations;
-    private final CrashAccount mCrashes;
+    private final CrashHistory mCrashes;
     private final RecentJobs<Long> mStarted;
     private final Map<String, Target> mTargets = new LinkedHashMap<>();
     private final Map<String, CellJob> mJobs = new HashMap<>();
@@ -45,7 +45,7 @@
             long fence,
             long nowMs,
             Evacuations evacuations,
-            CrashAccount crashes,
+            CrashHistory crashes,
             RecentJobs<Long> started) {
         mFence = fence;
         mSinceMs = nowMs;
@@ -126,11 +126,11 @@
 
     /** True when the target can take work now, and operators don't want its domain emptied. */
     boolean takesWork(Target target) {
-        return target.open(mNowMs) && mEvacuations.allow(target.info());
+        return target.schedulable(mNowMs) && mEvacuations.allows(target.info());
     }
 
     /** Targets that have crashed, by task. */
-    CrashAccount crashes() {
+    CrashHistory crashes() {
         return mCrashes;
     }
 
--- a/core/src/test/java/org/boragegap/core/cell/CellControllerTest.java
+++ b/core/src/test/java/org/boragegap/core/cell/CellControllerTest.java
@@ -156,7 +156,7 @@
         on(0, new CellEvent.TermBegan(7, Optional.of(List.of(TARGET))));
         TaskName task = new TaskName("00000000000000f4", 0, 0, 0);
         TargetReport report =
-                new TargetReport(20, List.of(new TargetReport.RunningRow(task, 1, 50)), List.of());
+                new TargetReport(20, List.of(new TargetReport.ActiveRun(task, 1, 50)), List.of());
         on(20, new CellEvent.LeaseExtended("t", lastCall(), report));
         assertThat(mController.hasAffectedNoTarget()).isFalse();
     }
--- a/core/src/test/java/org/boragegap/core/cell/CellHistory.java
+++ b/core/src/test/java/org/boragegap/core/cell/CellHistory.java
@@ -13,7 +13,7 @@
  */
 final class CellHistory {
     static final long RESEND_MS = 1_300;
-    private static final CellSettings SETTINGS = new CellSettings(FakeTarget.LEASE_MOST_MS, 2);
+    private static final CellSettings SETTINGS = new CellSettings(FakeTarget.MAX_LEASE_MS, 2);
     private static final int VMS = 4;
     private static final long LENGTH_MS = 14_000;
     private static final long FAULTS_UNTIL_MS = 10_000;
@@ -277,7 +277,7 @@
     }
 
     private void operatorsRead(FakeEntryVm vm, int life, boolean read) {
-        Set<String> domains = mPlatform.evacuated();
+        Set<String> domains = mPlatform.evacuatedDomains();
         if (!read || domains.equals(vm.mToldEvacuated)) {
             after(OPERATORS_MS, () -> operators(vm, life));
             return;
@@ -321,7 +321,7 @@
     }
 
     private void feedList(FakeEntryVm vm, int life) {
-        feedControl(vm, life, new CellEvent.TargetsListed(mPlatform.listed()));
+        feedControl(vm, life, new CellEvent.TargetsListed(mPlatform.listedTargets()));
     }
 
     private void run(FakeEntryVm vm, MemberAction action) {
@@ -481,6 +481,6 @@
                         vm.mCutFrom.add(other.mAddress);
                     }
                 });
-        vm.mCutFrom.addAll(mPlatform.drawHalf());
+        vm.mCutFrom.addAll(mPlatform.randomTargets());
     }
 }
--- a/core/src/test/java/org/boragegap/core/cell/CoincidentLossTest.java
+++ b/core/src/test/java/org/boragegap/core/cell/CorrelatedLossTest.java
@@ -9,14 +9,14 @@
 import org.junit.jupiter.api.Test;
 
 /** Many targets are lost in the same moment, with the tasks of one job or of several. */
-final class CoincidentLossTest {
+final class CorrelatedLossTest {
     private static final int TARGETS = 5;
 
     /** A task that takes more than half of a target. */
     private static final StepRequest LARGE = StepRequest.cpuOnly(1, 1_500, 100);
 
     /** By then the leases of silent targets are over. */
-    private static final long LAPSED_MS = 6_000;
+    private static final long LEASE_EXPIRED_MS = 6_000;
 
     private final ScriptedCell mCell = new ScriptedCell();
     private final List<TargetInfo> mTargets = new ArrayList<>();
@@ -42,8 +42,8 @@
     /** All targets fall silent until they lapse; others are listed in their places. */
     private List<CrashEvidence> loseAll() {
         mCell.starts().forEach(start -> mCell.acceptStart(12, start));
-        mCell.ticks(20, LAPSED_MS);
-        mCell.listed(LAPSED_MS + 10, successors());
+        mCell.ticks(20, LEASE_EXPIRED_MS);
+        mCell.listed(LEASE_EXPIRED_MS + 10, successors());
         return mCell.actions(CellAction.BroadcastCrash.class).stream()
                 .map(CellAction.BroadcastCrash::evidence)
                 .toList();
@@ -58,7 +58,7 @@
     }
 
     @Nested
-    class OfSeveralJobs {
+    class SeveralJobs {
         @BeforeEach
         void offer() {
             for (int i = 0; i < TARGETS; i++) {
@@ -72,36 +72,36 @@
         void noTaskIsSuspected() {
             List<CrashEvidence> evidence = loseAll();
             assertThat(evidence).hasSize(TARGETS);
-            assertThat(evidence.stream().filter(CrashEvidence::suspicious).toList()).isEmpty();
+            assertThat(evidence.stream().filter(CrashEvidence::implicatesTask).toList()).isEmpty();
         }
     }
 
     @Nested
-    class OfOneJob {
+    class OneJob {
         /** Guards against a job being cleared since all its tasks crash their targets at once. */
         @Test
         void eachTaskIsSuspected() {
             mCell.offer(10, job(0), StepRequest.cpuOnly(TARGETS, 1_500, 100));
             List<CrashEvidence> evidence = loseAll();
             assertThat(evidence).hasSize(TARGETS);
-            assertThat(evidence.stream().filter(CrashEvidence::suspicious).toList())
+            assertThat(evidence.stream().filter(CrashEvidence::implicatesTask).toList())
                     .hasSize(TARGETS);
         }
     }
 
     @Nested
-    class OfAnEarlierLoss {
+    class EarlierLoss {
         private final TaskName mTask = new TaskName(job(0), 0, 0, 0);
 
-        private void told(String target, CrashEvidence evidence) {
+        private void reportCrash(String target, CrashEvidence evidence) {
             mCell.on(6, new CellEvent.CrashReported(mTask, target, evidence));
         }
 
         /** Guards against a job failed for two losses that it can't have been the cause of. */
         @Test
-        void twoOfThemFailNoJob() {
-            told("c1", CrashEvidence.COINCIDENT);
-            told("c2", CrashEvidence.COINCIDENT);
+        void twoCoincidentCrashesDoNotEndJob() {
+            reportCrash("c1", CrashEvidence.COINCIDENT);
+            reportCrash("c2", CrashEvidence.COINCIDENT);
             mCell.offer(10, job(0), 1);
             assertThat(mCell.verdicts()).isEmpty();
             assertThat(mCell.starts()).hasSize(1);
@@ -109,8 +109,8 @@
 
         /** Guards against targets that are kept for a task which nothing speaks against. */
         @Test
-        void itsTaskRunsBesideOthers() {
-            told("c1", CrashEvidence.COINCIDENT);
+        void taskSharesTargetWithOthers() {
+            reportCrash("c1", CrashEvidence.COINCIDENT);
             mCell.offer(10, job(0), 1);
             mCell.offer(11, job(1), 2 * TARGETS - 1);
             assertThat(mCell.starts()).hasSize(2 * TARGETS);
@@ -118,9 +118,9 @@
 
         /** Guards against a task that is started for ever since it is lost in company. */
         @Test
-        void afterFourOfThemItIsStartedNoMore() {
+        void taskIsNotStartedAfterFourCoincidentCrashes() {
             for (String target : List.of("c1", "c2", "c3", "c4")) {
-                told(target, CrashEvidence.COINCIDENT);
+                reportCrash(target, CrashEvidence.COINCIDENT);
             }
             mCell.offer(10, job(0), 1);
             assertThat(mCell.starts()).isEmpty();
--- a/core/src/test/java/org/boragegap/core/cell/CrashingTaskTest.java
+++ b/core/src/test/java/org/boragegap/core/cell/CrashingTaskTest.java
@@ -16,13 +16,13 @@
     private static final TaskName TASK = new TaskName(JOB, 0, 0, 0);
     private static final TargetInfo FIRST = ScriptedCell.target("t1", "x:1", "a", 2_000);
     private static final TargetInfo SECOND = ScriptedCell.target("t2", "x:2", "a", 2_000);
-    private static final TargetInfo FIRST_REBORN = ScriptedCell.target("t3", "x:1", "a", 2_000);
+    private static final TargetInfo FIRST_SUCCESSOR = ScriptedCell.target("t3", "x:1", "a", 2_000);
 
     /** By then the leases of a silent target are over: calls to it extend them less and less. */
-    private static final long LAPSED_MS = 6_000;
+    private static final long LEASE_EXPIRED_MS = 6_000;
 
     /** By then what happened in the first seconds counts no more. */
-    private static final long FORGOTTEN_MS = 120_000;
+    private static final long AFTER_RETENTION_MS = 120_000;
 
     private final ScriptedCell mCell = new ScriptedCell();
 
@@ -40,16 +40,16 @@
     }
 
     /** The job starts on a target that falls silent until the lease of its run is over. */
-    private TargetInfo startAndLapse() {
+    private TargetInfo startAndLetLeaseExpire() {
         mCell.offer(10, JOB, 1);
         CellAction.StartRun start = mCell.starts().get(0);
         mCell.acceptStart(12, start);
-        mCell.ticks(20, LAPSED_MS);
+        mCell.ticks(20, LEASE_EXPIRED_MS);
         return start.target();
     }
 
     @Test
-    void afterTwoCrashesItIsStartedNoMore() {
+    void taskIsNotStartedAfterTwoCrashes() {
         mCell.offer(10, JOB, 1);
         startAndCrash(12);
         assertThat(mCell.starts()).hasSize(2);
@@ -64,7 +64,7 @@
      * Guards against an order that its target never took being counted as a crash under the task.
      */
     @Test
-    void anOrderToATargetThatIsGoneIsNoCrash() {
+    void orderToReplacedTargetIsNotACrash() {
         mCell.offer(10, JOB, 1);
         startAndCrash(12);
         CellAction.StartRun notTaken = mCell.starts().get(1);
@@ -75,13 +75,13 @@
 
     /** The caller's connection broke, and it hands the job in again after a while. */
     @Test
-    void handedInAgainItIsNotStartedEither() {
+    void resubmittedJobIsNotStarted() {
         mCell.offer(10, JOB, 1);
         startAndCrash(12);
         startAndCrash(40);
         mCell.ticks(15_000, 15_000);
         mCell.clearActions();
-        mCell.listed(15_010, FIRST_REBORN);
+        mCell.listed(15_010, FIRST_SUCCESSOR);
         mCell.offer(15_020, JOB, 1);
         assertThat(mCell.verdicts().get(0)).isInstanceOf(Verdict.InDoubt.class);
         assertThat(mCell.starts()).isEmpty();
@@ -89,8 +89,8 @@
 
     /** The other VMs are told: the next controller may be any of them. */
     @Test
-    void aNextControllerKnowsWhatTheOneBeforeHasSeen() {
-        told("t0", CrashEvidence.CONFIRMED);
+    void nextControllerKnowsEarlierCrashes() {
+        reportCrash("t0", CrashEvidence.CONFIRMED);
         mCell.offer(10, JOB, 1);
         String crashed = mCell.startedOn().get(0);
         startAndCrash(12);
@@ -101,9 +101,9 @@
 
     /** Guards against one crash that two controllers have found being counted twice. */
     @Test
-    void aCrashThatIsToldTwiceCountsOnce() {
-        told("t0", CrashEvidence.CONFIRMED);
-        told("t0", CrashEvidence.CONFIRMED);
+    void crashReportedTwiceCountsOnce() {
+        reportCrash("t0", CrashEvidence.CONFIRMED);
+        reportCrash("t0", CrashEvidence.CONFIRMED);
         mCell.offer(10, JOB, 1);
         assertThat(mCell.starts()).hasSize(1);
         assertThat(mCell.verdicts()).isEmpty();
@@ -111,9 +111,9 @@
 
     /** Guards against a job shown as failed though no target has confirmed a run of it. */
     @Test
-    void crashesWithoutAConfirmedRunFailNoJob() {
+    void threeUnconfirmedCrashesDoNotEndJob() {
         for (String target : List.of("c1", "c2", "c3")) {
-            told(target, CrashEvidence.POSSIBLE);
+            reportCrash(target, CrashEvidence.POSSIBLE);
         }
         mCell.offer(10, JOB, 1);
         assertThat(mCell.starts()).hasSize(1);
@@ -122,9 +122,9 @@
 
     /** Guards against a task that crashes its targets before they answer being started for ever. */
     @Test
-    void afterFourUnconfirmedCrashesItIsGivenUpInDoubt() {
+    void fourUnconfirmedCrashesEndJobInDoubt() {
         for (String target : List.of("c1", "c2", "c3", "c4")) {
-            told(target, CrashEvidence.POSSIBLE);
+            reportCrash(target, CrashEvidence.POSSIBLE);
         }
         mCell.offer(10, JOB, 1);
         assertThat(mCell.starts()).isEmpty();
@@ -135,19 +135,19 @@
      * Guards against a start of a task that another VM has found to crash its targets meanwhile.
      */
     @Test
-    void aWaitingTaskIsGivenUpWhenItsCrashesAreTold() {
+    void waitingJobEndsWhenCrashesAreReported() {
         mCell.offer(10, OTHER_JOB, 4);
         mCell.offer(11, JOB, 1);
         assertThat(mCell.starts()).hasSize(4);
-        told("c1", CrashEvidence.CONFIRMED);
-        told("c2", CrashEvidence.CONFIRMED);
+        reportCrash("c1", CrashEvidence.CONFIRMED);
+        reportCrash("c2", CrashEvidence.CONFIRMED);
         assertThat(mCell.verdicts()).hasSize(1);
         assertThat(mCell.verdicts().get(0)).isInstanceOf(Verdict.InDoubt.class);
     }
 
     /** Guards against a task started for ever since no successor of its targets is seen. */
     @Test
-    void lapsesWithoutASuccessorCountAgainstFurtherStarts() {
+    void expiredLeasesWithoutSuccessorLimitStarts() {
         TargetInfo[] targets = new TargetInfo[8];
         for (int i = 0; i < targets.length; i++) {
             targets[i] = ScriptedCell.target("u" + i, "y:" + i, "a", 1_000);
@@ -178,7 +178,7 @@
 
     /** Guards against a lost answer to a start being taken for a confirmed run. */
     @Test
-    void aRunThatWasNeverConfirmedMayHaveCrashedItsTarget() {
+    void unconfirmedRunIsPossibleCrashCause() {
         mCell.offer(10, JOB, 1);
         CellAction.StartRun start = mCell.starts().get(0);
         mCell.unanswered(300, start);
@@ -189,17 +189,17 @@
 
     /** Guards against late word of a crash under a task that is done by now. */
     @Test
-    void aTaskThatIsDoneIsNotGivenUp() {
-        CellAction.StartRun lapsed = startOnceMoreAfterALapse(2);
+    void lateCrashReportDoesNotEndJobOfFinishedTask() {
+        CellAction.StartRun lapsed = restartAfterLeaseExpiry(2);
         CellAction.StartRun again =
                 mCell.starts().subList(2, 4).stream()
                         .filter(start -> start.task().equals(TASK))
                         .findFirst()
                         .orElseThrow();
-        TargetReport.EndedRow done = new TargetReport.EndedRow(1, TASK, again.run(), EndCause.DONE);
-        mCell.report(LAPSED_MS + 100, again.target().id(), List.of(), List.of(done));
-        told("c1", CrashEvidence.CONFIRMED);
-        mCell.listed(LAPSED_MS + 400, again.target(), successorOf(lapsed.target()));
+        TargetReport.EndedRun done = new TargetReport.EndedRun(1, TASK, again.run(), EndCause.DONE);
+        mCell.report(LEASE_EXPIRED_MS + 100, again.target().id(), List.of(), List.of(done));
+        reportCrash("c1", CrashEvidence.CONFIRMED);
+        mCell.listed(LEASE_EXPIRED_MS + 400, again.target(), successorOf(lapsed.target()));
         assertThat(mCell.actions(CellAction.BroadcastCrash.class))
                 .contains(crash(lapsed.target().id(), CrashEvidence.CONFIRMED));
         assertThat(mCell.verdicts()).isEmpty();
@@ -207,11 +207,11 @@
 
     /** Guards against late word of a crash ending a run that is at work. */
     @Test
-    void aRunThatIsAtWorkGoesOnAtLateWordOfACrash() {
-        CellAction.StartRun lapsed = startOnceMoreAfterALapse(1);
+    void lateCrashReportDoesNotStopActiveRun() {
+        CellAction.StartRun lapsed = restartAfterLeaseExpiry(1);
         CellAction.StartRun again = mCell.starts().get(1);
-        told("c1", CrashEvidence.CONFIRMED);
-        mCell.listed(LAPSED_MS + 400, again.target(), successorOf(lapsed.target()));
+        reportCrash("c1", CrashEvidence.CONFIRMED);
+        mCell.listed(LEASE_EXPIRED_MS + 400, again.target(), successorOf(lapsed.target()));
         assertThat(mCell.actions(CellAction.BroadcastCrash.class))
                 .containsExactly(crash(lapsed.target().id(), CrashEvidence.CONFIRMED));
         assertThat(mCell.verdicts()).isEmpty();
@@ -220,21 +220,21 @@
 
     /** Guards against a given-up task that starts again when its last run ends. */
     @Test
-    void whenThatRunIsLostTheTaskIsStartedNoMore() {
-        CellAction.StartRun lapsed = startOnceMoreAfterALapse(1);
+    void taskIsNotRestartedWhenActiveRunIsLost() {
+        CellAction.StartRun lapsed = restartAfterLeaseExpiry(1);
         CellAction.StartRun again = mCell.starts().get(1);
-        told("c1", CrashEvidence.CONFIRMED);
-        mCell.listed(LAPSED_MS + 400, again.target(), successorOf(lapsed.target()));
-        mCell.ticks(LAPSED_MS + 410, 2 * LAPSED_MS + 400);
+        reportCrash("c1", CrashEvidence.CONFIRMED);
+        mCell.listed(LEASE_EXPIRED_MS + 400, again.target(), successorOf(lapsed.target()));
+        mCell.ticks(LEASE_EXPIRED_MS + 410, 2 * LEASE_EXPIRED_MS + 400);
         assertThat(mCell.starts()).hasSize(2);
         assertThat(mCell.verdicts()).hasSize(1);
         assertThat(mCell.verdicts().get(0)).isInstanceOf(Verdict.InDoubt.class);
     }
 
-    private List<TargetReport.RunningRow> atWorkOn(TargetInfo target) {
+    private List<TargetReport.ActiveRun> activeRunsOn(TargetInfo target) {
         return mCell.starts().stream()
                 .filter(start -> start.target().id().equals(target.id()))
-                .map(start -> new TargetReport.RunningRow(start.task(), start.run(), 90))
+                .map(start -> new TargetReport.ActiveRun(start.task(), start.run(), 90))
                 .toList();
     }
 
@@ -243,19 +243,19 @@
     }
 
     /** The first target lapses with all tasks of the job, which another target takes then. */
-    private CellAction.StartRun startOnceMoreAfterALapse(int tasks) {
+    private CellAction.StartRun restartAfterLeaseExpiry(int tasks) {
         mCell.offer(10, JOB, tasks);
         CellAction.StartRun lapsed = mCell.starts().get(0);
         TargetInfo other = lapsed.target().equals(FIRST) ? SECOND : FIRST;
         mCell.starts().forEach(start -> mCell.acceptStart(12, start));
         int ordered = tasks;
-        for (long ms = 20; ms <= LAPSED_MS; ms += 10) {
+        for (long ms = 20; ms <= LEASE_EXPIRED_MS; ms += 10) {
             mCell.on(ms, new CellEvent.Ticked());
             for (; ordered < mCell.starts().size(); ordered++) {
                 mCell.acceptStart(ms, mCell.starts().get(ordered));
             }
             if (ms % 100 == 0) {
-                mCell.report(ms, other.id(), atWorkOn(other), List.of());
+                mCell.report(ms, other.id(), activeRunsOn(other), List.of());
             }
         }
         assertThat(mCell.starts()).hasSize(2 * tasks);
@@ -264,22 +264,22 @@
 
     /** Guards against crashes and lapses that count however long ago they were. */
     @Test
-    void crashesOfLongAgoCountNoMore() {
-        told("c1", CrashEvidence.CONFIRMED);
-        told("c2", CrashEvidence.CONFIRMED);
-        mCell.offer(FORGOTTEN_MS, JOB, 1);
+    void oldCrashesDoNotCount() {
+        reportCrash("c1", CrashEvidence.CONFIRMED);
+        reportCrash("c2", CrashEvidence.CONFIRMED);
+        mCell.offer(AFTER_RETENTION_MS, JOB, 1);
         assertThat(mCell.verdicts()).isEmpty();
     }
 
     /** Guards against a lapse that counts as a crash however long ago it was. */
     @Test
-    void aLapseOfLongAgoIsNoCrash() {
-        TargetInfo gone = startAndLapse();
-        mCell.listed(FORGOTTEN_MS, successorOf(gone));
+    void oldLeaseExpiryIsNotACrash() {
+        TargetInfo gone = startAndLetLeaseExpire();
+        mCell.listed(AFTER_RETENTION_MS, successorOf(gone));
         assertThat(mCell.actions(CellAction.BroadcastCrash.class)).isEmpty();
     }
 
-    private void told(String target, CrashEvidence evidence) {
+    private void reportCrash(String target, CrashEvidence evidence) {
         mCell.on(5, new CellEvent.CrashReported(TASK, target, evidence));
     }
 
@@ -289,8 +289,8 @@
 
     /** One that has crashed a target would take others' tasks with it if they ran beside it. */
     @Test
-    void aSuspectedTaskRunsAlone() {
-        told("t0", CrashEvidence.POSSIBLE);
+    void suspectTaskRunsAlone() {
+        reportCrash("t0", CrashEvidence.POSSIBLE);
         mCell.offer(10, JOB, 1);
         mCell.offer(11, OTHER_JOB, 3);
         List<CellAction.StartRun> starts = mCell.starts();
@@ -301,26 +301,27 @@
 
     /** Its targets were beyond a cut and answer again: nothing has crashed. */
     @Test
-    void aLapseIsNoCrash() {
-        TargetInfo silent = startAndLapse();
-        mCell.report(LAPSED_MS + 10, silent.id(), List.of(), List.of());
-        mCell.listed(LAPSED_MS + 20, FIRST, SECOND, ScriptedCell.target("t9", "x:9", "a", 2_000));
+    void leaseExpiryAloneIsNotACrash() {
+        TargetInfo silent = startAndLetLeaseExpire();
+        mCell.report(LEASE_EXPIRED_MS + 10, silent.id(), List.of(), List.of());
+        mCell.listed(
+                LEASE_EXPIRED_MS + 20, FIRST, SECOND, ScriptedCell.target("t9", "x:9", "a", 2_000));
         assertThat(mCell.actions(CellAction.BroadcastCrash.class)).isEmpty();
     }
 
     /** Its lease lapsed first; seconds later another incarnation is listed in its place. */
     @Test
-    void aLapseIsACrashOnceAnotherIncarnationStandsInItsPlace() {
-        TargetInfo gone = startAndLapse();
+    void leaseExpiryIsACrashOnceSuccessorIsListed() {
+        TargetInfo gone = startAndLetLeaseExpire();
         TargetInfo reborn = ScriptedCell.target("t9", gone.address(), "a", 2_000);
-        mCell.listed(LAPSED_MS + 10, reborn);
+        mCell.listed(LEASE_EXPIRED_MS + 10, reborn);
         assertThat(mCell.actions(CellAction.BroadcastCrash.class))
                 .containsExactly(crash(gone.id(), CrashEvidence.CONFIRMED));
     }
 
     /** It was leaving as planned, and what ran there was killed with it. */
     @Test
-    void aTargetThatWasLeavingHasNotCrashed() {
+    void drainingTargetHasNotCrashed() {
         mCell.offer(10, JOB, 1);
         TargetInfo info = mCell.starts().get(0).target();
         mCell.listed(15, ScriptedCell.leaving(info));
@@ -330,24 +331,24 @@
 
     /** Guards against a planned leave whose lease lapses first being counted as a crash. */
     @Test
-    void aTargetThatWasLeavingHasNotCrashedWhenItsLeaseLapses() {
+    void drainingTargetHasNotCrashedWhenLeaseExpires() {
         mCell.offer(10, JOB, 1);
         CellAction.StartRun start = mCell.starts().get(0);
         TargetInfo info = start.target();
         mCell.acceptStart(12, start);
         mCell.listed(15, ScriptedCell.leaving(info));
-        mCell.ticks(20, LAPSED_MS);
-        mCell.listed(LAPSED_MS + 10, ScriptedCell.target("t9", info.address(), "a", 2_000));
+        mCell.ticks(20, LEASE_EXPIRED_MS);
+        mCell.listed(LEASE_EXPIRED_MS + 10, ScriptedCell.target("t9", info.address(), "a", 2_000));
         assertThat(mCell.actions(CellAction.BroadcastCrash.class)).isEmpty();
     }
 
     /** A crashed target is back at once as a sound one: the task was at fault, not the target. */
     @Test
-    void noHealthyTargetIsKeptOutForIt() {
+    void healthySuccessorIsUsedImmediately() {
         mCell.offer(10, JOB, 1);
         startAndCrash(12);
         startAndCrash(40);
-        mCell.listed(60, FIRST_REBORN);
+        mCell.listed(60, FIRST_SUCCESSOR);
         mCell.report(70, "t3", List.of(), List.of());
         mCell.clearActions();
         mCell.offer(300, OTHER_JOB, 2);
--- a/core/src/test/java/org/boragegap/core/cell/EvacuationTest.java
+++ b/core/src/test/java/org/boragegap/core/cell/EvacuationTest.java
@@ -20,22 +20,22 @@
     private final ScriptedCell mCell = new ScriptedCell();
 
     @Nested
-    final class OneOfTwoDomains {
+    final class OneDomainEvacuated {
         @BeforeEach
-        void emptyA() {
+        void evacuateA() {
             mCell.evacuate(0);
             mCell.begin(0, 7, IN_A, IN_B);
             mCell.evacuate(10, "a");
         }
 
         @Test
-        void nothingIsStartedThereAndCallersAreServedFromTheOther() {
+        void tasksStartOnlyInOtherDomain() {
             mCell.offer(20, JOB, 2);
             assertThat(mCell.startedOn()).containsExactly("t2", "t2");
         }
 
         @Test
-        void aJobThatFitsOnlyThereIsRefusedAtOnce() {
+        void jobThatFitsOnlyThereIsDeclined() {
             mCell.listed(15, IN_A, ScriptedCell.target("t2", "x:2", "b", 500));
             mCell.offer(20, JOB, 1);
             assertThat(mCell.verdicts()).hasSize(1);
@@ -43,14 +43,14 @@
         }
 
         @Test
-        void itIsUsedAgainOnceItIsTakenBack() {
+        void domainIsUsedAgainAfterEvacuation() {
             mCell.evacuate(30);
             mCell.offer(40, JOB, 4);
             assertThat(mCell.startedOn()).containsExactly("t1", "t1", "t2", "t2");
         }
 
         @Test
-        void aNextTermOfThisVmStillHeedsIt() {
+        void evacuationPersistsIntoNextTerm() {
             mCell.on(30, new CellEvent.TermEnded());
             mCell.begin(40, 9, IN_A, IN_B);
             mCell.offer(50, JOB, 4);
@@ -62,7 +62,7 @@
      * A task was at work when the request came: stopped, its caller would wait for a second run.
      */
     @Test
-    void whatRunsThereEndsInPeace() {
+    void runningTaskIsNotStopped() {
         mCell.evacuate(0);
         mCell.begin(0, 7, IN_A);
         mCell.offer(10, JOB, 1);
@@ -70,15 +70,15 @@
         mCell.acceptStart(12, start);
         mCell.evacuate(20, "a");
         assertThat(mCell.actions(CellAction.StopRun.class)).isEmpty();
-        TargetReport.EndedRow end =
-                new TargetReport.EndedRow(1, start.task(), start.run(), EndCause.DONE);
+        TargetReport.EndedRun end =
+                new TargetReport.EndedRun(1, start.task(), start.run(), EndCause.DONE);
         mCell.report(110, "t1", List.of(), List.of(end));
         assertThat(mCell.verdicts()).containsExactly(new Verdict.Completed());
     }
 
     /** All domains are emptied: who waits, and who comes, is told so at once. */
     @Test
-    void withoutAnyDomainLeftCallersAreRefusedAtOnce() {
+    void jobsAreDeclinedWhenAllDomainsAreEvacuated() {
         mCell.evacuate(0);
         mCell.begin(0, 7, IN_A, IN_B);
         mCell.listed(5, IN_A, IN_B);
@@ -97,7 +97,7 @@
      * operators ask for.
      */
     @Test
-    void nothingIsStartedBeforeItIsKnownWhatIsToBeEmptied() {
+    void nothingStartsBeforeEvacuationsAreKnown() {
         mCell.begin(0, 7, IN_A, IN_B);
         mCell.listed(5, IN_A, IN_B);
         mCell.offer(10, JOB, 2);
--- a/core/src/test/java/org/boragegap/core/cell/FakePlatform.java
+++ b/core/src/test/java/org/boragegap/core/cell/FakePlatform.java
@@ -15,15 +15,15 @@
     static final int TASK_CPU = 1_000;
     private static final int TARGETS = 5;
     private static final int DOMAINS = 2;
-    private static final int MOST_TASKS_PER_TARGET = 4;
+    private static final int MAX_TASKS_PER_TARGET = 4;
     private static final int UNLISTED_PERCENT = 40;
     private static final long STEP_MS = 5;
 
     /** A crashed target is back after this time, in ms, under another id at the same address. */
-    private static final long BACK_AFTER_MS = 500;
+    private static final long RESTART_DELAY_MS = 500;
 
-    private static final long WAVE_BACK_LEAST_MS = 300;
-    private static final long WAVE_BACK_MOST_MS = 1_200;
+    private static final long MIN_MASS_RESTART_DELAY_MS = 300;
+    private static final long MAX_MASS_RESTART_DELAY_MS = 1_200;
 
     private final SimulatedClock mClock;
     private final SplittableRandom mRandom;
@@ -48,12 +48,12 @@
 
     private void addTarget(String address, String domain) {
         String id = "t" + mNextTarget++;
-        mTargets.put(id, FakeTarget.drawn(id, address, domain, mRandom, TASK_CPU, mOracle));
+        mTargets.put(id, FakeTarget.createRandom(id, address, domain, mRandom, TASK_CPU, mOracle));
     }
 
     /** Moves the targets' time on, from now on. */
     void begin() {
-        mTargets.values().forEach(target -> target.at(mClock.nowMs()));
+        mTargets.values().forEach(target -> target.advanceTo(mClock.nowMs()));
         mClock.after(STEP_MS, this::begin);
     }
 
@@ -66,12 +66,12 @@
     }
 
     /** Some of the targets' ids. */
-    List<String> drawHalf() {
+    List<String> randomTargets() {
         return ids().stream().filter(id -> mRandom.nextBoolean()).toList();
     }
 
     /** The list of targets as the store has it. */
-    List<TargetInfo> listed() {
+    List<TargetInfo> listedTargets() {
         List<TargetInfo> infos = new ArrayList<>();
         for (FakeTarget target : mTargets.values()) {
             if (target.alive() && !mUnlisted.contains(target.info().id())) {
@@ -82,21 +82,21 @@
     }
 
     /** Failure domains that operators want emptied. */
-    Set<String> evacuated() {
+    Set<String> evacuatedDomains() {
         return Set.copyOf(mEvacuated);
     }
 
     /** A target crashes, and is back as another incarnation. */
     void crashOne() {
         List<String> ids = ids();
-        crash(mTargets.get(ids.get(mRandom.nextInt(ids.size()))), BACK_AFTER_MS);
+        crash(mTargets.get(ids.get(mRandom.nextInt(ids.size()))), RESTART_DELAY_MS);
     }
 
     /** Some targets crash at once; each is back at a time of its own as another incarnation. */
     void crashSome() {
-        long span = WAVE_BACK_MOST_MS - WAVE_BACK_LEAST_MS + 1;
-        for (String id : drawHalf()) {
-            crash(mTargets.get(id), WAVE_BACK_LEAST_MS + mRandom.nextLong(span));
+        long span = MAX_MASS_RESTART_DELAY_MS - MIN_MASS_RESTART_DELAY_MS + 1;
+        for (String id : randomTargets()) {
+            crash(mTargets.get(id), MIN_MASS_RESTART_DELAY_MS + mRandom.nextLong(span));
         }
     }
 
@@ -109,7 +109,7 @@
     }
 
     /** True when a target stands at the address, whatever its id. */
-    boolean answersAt(String address) {
+    boolean isTargetAliveAt(String address) {
         return mTargets.values().stream()
                 .anyMatch(target -> target.alive() && target.info().address().equals(address));
     }
@@ -123,8 +123,8 @@
 
     /** Targets' room shrinks and grows while they run. */
     void resizeSome() {
-        for (String id : drawHalf()) {
-            int tasks = 1 + mRandom.nextInt(MOST_TASKS_PER_TARGET);
+        for (String id : randomTargets()) {
+            int tasks = 1 + mRandom.nextInt(MAX_TASKS_PER_TARGET);
             mTargets.get(id).resize(tasks * TASK_CPU, mClock.nowMs());
         }
     }
--- a/core/src/test/java/org/boragegap/core/cell/FakeTarget.java
+++ b/core/src/test/java/org/boragegap/core/cell/FakeTarget.java
@@ -10,11 +10,11 @@
 
 /** A target that starts whatever it is told to, as the platform's protocol has it. */
 final class FakeTarget {
-    static final long LEASE_MOST_MS = 1_000;
+    static final long MAX_LEASE_MS = 1_000;
     private static final int STOP_MS = 30;
 
     /** How long a room that has shrunk counts: the platform's window and a heartbeat, in ms. */
-    private static final long ROOM_COUNTS_MS = 5_500;
+    private static final long OLD_CAPACITY_VALID_MS = 5_500;
 
     private static final class Running {
         private final int mRun;
@@ -28,12 +28,12 @@
         }
     }
 
-    private static final class Waiting {
+    private static final class PendingCall {
         private final long mUntilMs;
         private final Consumer<CellEvent> mReply;
         private final long mCall;
 
-        private Waiting(long untilMs, long call, Consumer<CellEvent> reply) {
+        private PendingCall(long untilMs, long call, Consumer<CellEvent> reply) {
             mUntilMs = untilMs;
             mCall = call;
             mReply = reply;
@@ -41,20 +41,20 @@
     }
 
     /** An earlier room, and until when it counts beside the present one. */
-    private record EarlierRoom(int cpuMillis, long countsUntilMs) {}
+    private record EarlierCapacity(int cpuMillis, long validUntilMs) {}
 
     private TargetInfo mInfo;
-    private final List<EarlierRoom> mEarlierRooms = new ArrayList<>();
+    private final List<EarlierCapacity> mEarlierCapacities = new ArrayList<>();
     private final double mClockRate;
     private final int mTaskCpu;
     private final InvariantChecker mOracle;
     private final Map<TaskName, Running> mRunning = new HashMap<>();
     private final Map<TaskName, Integer> mSeenRuns = new HashMap<>();
-    private final List<TargetReport.EndedRow> mEnded = new ArrayList<>();
-    private final List<Waiting> mWaiting = new ArrayList<>();
+    private final List<TargetReport.EndedRun> mEnded = new ArrayList<>();
+    private final List<PendingCall> mPendingCalls = new ArrayList<>();
     private long mFence;
-    private long mLeaseMs;
-    private long mNextEnd = 1;
+    private long mLeaseEndMs;
+    private long mNextEndSequence = 1;
     private long mNowMs;
     private boolean mAlive = true;
 
@@ -66,7 +66,7 @@
     }
 
     /** A target for two tasks whose clock is up to 1.5% slow. */
-    static FakeTarget drawn(
+    static FakeTarget createRandom(
             String id,
             String address,
             String domain,
@@ -91,7 +91,8 @@
 
     /** Its room changes; a larger one of before counts for a while. */
     void resize(int cpuMillis, long nowMs) {
-        mEarlierRooms.add(new EarlierRoom(mInfo.cpuMillis(), nowMs + ROOM_COUNTS_MS));
+        mEarlierCapacities.add(
+                new EarlierCapacity(mInfo.cpuMillis(), nowMs + OLD_CAPACITY_VALID_MS));
         mInfo =
                 new TargetInfo(
                         mInfo.id(),
@@ -102,14 +103,14 @@
                         mInfo.memoryMb(),
                         mInfo.accelerators(),
                         mInfo.labels(),
-                        mInfo.guarded(),
+                        mInfo.enforcesCapacity(),
                         mInfo.draining());
     }
 
-    private int roomThatCounts() {
+    private int effectiveCapacity() {
         int room = mInfo.cpuMillis();
-        for (EarlierRoom earlier : mEarlierRooms) {
-            if (mNowMs <= earlier.countsUntilMs()) {
+        for (EarlierCapacity earlier : mEarlierCapacities) {
+            if (mNowMs <= earlier.validUntilMs()) {
                 room = Math.max(room, earlier.cpuMillis());
             }
         }
@@ -124,7 +125,7 @@
         mAlive = false;
         mRunning.keySet().forEach(task -> mOracle.ended(task, mInfo.id(), EndCause.LAPSED));
         mRunning.clear();
-        mWaiting.clear();
+        mPendingCalls.clear();
     }
 
     void extend(CellAction.ExtendLease order, Consumer<CellEvent> reply) {
@@ -134,13 +135,13 @@
         }
         mFence = order.fence();
         extendTo(order.untilMs());
-        mEnded.removeIf(row -> row.number() <= order.acknowledged());
-        mWaiting.add(new Waiting(mNowMs + order.waitMs(), order.call(), reply));
-        answerWaiting();
+        mEnded.removeIf(row -> row.endSequence() <= order.acknowledged());
+        mPendingCalls.add(new PendingCall(mNowMs + order.waitMs(), order.call(), reply));
+        answerPendingCalls();
     }
 
     private void extendTo(long untilMs) {
-        mLeaseMs = Math.max(mLeaseMs, Math.min(untilMs, clock() + LEASE_MOST_MS));
+        mLeaseEndMs = Math.max(mLeaseEndMs, Math.min(untilMs, clock() + MAX_LEASE_MS));
     }
 
     void start(CellAction.StartRun order, long takesMs, boolean fails, Consumer<CellEvent> reply) {
@@ -150,10 +151,10 @@
                         order.task(),
                         order.run(),
                         order.fence(),
-                        result(order, takesMs, fails)));
+                        startResult(order, takesMs, fails)));
     }
 
-    private OrderResult result(CellAction.StartRun order, long takesMs, boolean fails) {
+    private OrderResult startResult(CellAction.StartRun order, long takesMs, boolean fails) {
         if (order.fence() < mFence) {
             return OrderResult.FENCED;
         }
@@ -172,7 +173,7 @@
         mSeenRuns.put(order.task(), order.run());
         EndCause cause = fails ? EndCause.FAILED : EndCause.DONE;
         mRunning.put(order.task(), new Running(order.run(), mNowMs + takesMs, cause));
-        mOracle.started(order.task(), mInfo.id(), mRunning.size() * mTaskCpu, roomThatCounts());
+        mOracle.started(order.task(), mInfo.id(), mRunning.size() * mTaskCpu, effectiveCapacity());
         return OrderResult.DONE;
     }
 
@@ -191,28 +192,28 @@
     }
 
     /** Moves its time on: ends what is over, lets the lease lapse, answers waiting calls. */
-    void at(long nowMs) {
+    void advanceTo(long nowMs) {
         mNowMs = nowMs;
-        boolean lapsed = clock() >= mLeaseMs;
+        boolean lapsed = clock() >= mLeaseEndMs;
         for (TaskName task : List.copyOf(mRunning.keySet())) {
             Running running = mRunning.get(task);
             if (lapsed || nowMs >= running.mEndsMs) {
                 end(task, running, lapsed ? EndCause.LAPSED : running.mCause);
             }
         }
-        answerWaiting();
+        answerPendingCalls();
     }
 
     private void end(TaskName task, Running running, EndCause cause) {
         mRunning.remove(task);
-        mEnded.add(new TargetReport.EndedRow(mNextEnd++, task, running.mRun, cause));
+        mEnded.add(new TargetReport.EndedRun(mNextEndSequence++, task, running.mRun, cause));
         mOracle.ended(task, mInfo.id(), cause);
     }
 
-    private void answerWaiting() {
-        for (Waiting waiting : List.copyOf(mWaiting)) {
+    private void answerPendingCalls() {
+        for (PendingCall waiting : List.copyOf(mPendingCalls)) {
             if (!mEnded.isEmpty() || mNowMs >= waiting.mUntilMs) {
-                mWaiting.remove(waiting);
+                mPendingCalls.remove(waiting);
                 waiting.mReply.accept(
                         new CellEvent.LeaseExtended(mInfo.id(), waiting.mCall, report()));
             }
@@ -220,8 +221,8 @@
     }
 
     private TargetReport report() {
-        List<TargetReport.RunningRow> rows = new ArrayList<>();
-        mRunning.forEach((task, run) -> rows.add(new TargetReport.RunningRow(task, run.mRun, 50)));
+        List<TargetReport.ActiveRun> rows = new ArrayList<>();
+        mRunning.forEach((task, run) -> rows.add(new TargetReport.ActiveRun(task, run.mRun, 50)));
         return new TargetReport(clock(), rows, List.copyOf(mEnded));
     }
 }
--- a/core/src/test/java/org/boragegap/core/cell/FalseRefusalTest.java
+++ b/core/src/test/java/org/boragegap/core/cell/FalseRefusalTest.java
@@ -39,7 +39,7 @@
         }
 
         private void inherit(
-                List<TargetReport.RunningRow> running, List<TargetReport.EndedRow> ended) {
+                List<TargetReport.ActiveRun> running, List<TargetReport.EndedRun> ended) {
             mCell.on(0, new CellEvent.TermBegan(9, Optional.of(List.of(FIRST))));
             mCell.report(5, FIRST.id(), running, ended);
             mCell.listed(6, FIRST);
@@ -70,7 +70,7 @@
         /** Guards against a caller being told that its job never ran while a target reports it. */
         @Test
         void aJobThatATargetReportsIsNotRefusedAsNeverRun() {
-            inherit(List.of(new TargetReport.RunningRow(TASK, 1, 50)), List.of());
+            inherit(List.of(new TargetReport.ActiveRun(TASK, 1, 50)), List.of());
             refuse(10, 1);
             assertInDoubt();
         }
@@ -78,7 +78,7 @@
         /** Guards against a caller being told that its job never ran after a run of it failed. */
         @Test
         void aJobWhoseFailedRunATargetReportsIsNotRefusedAsNeverRun() {
-            inherit(List.of(), List.of(new TargetReport.EndedRow(1, TASK, 1, EndCause.FAILED)));
+            inherit(List.of(), List.of(new TargetReport.EndedRun(1, TASK, 1, EndCause.FAILED)));
             refuse(10, 1);
             assertInDoubt();
         }
@@ -87,7 +87,7 @@
         @Test
         void aWaitingJobWithATaskThatWasTakenOverIsNotRefused() {
             mCell.on(0, new CellEvent.TermBegan(9, Optional.of(List.of(FIRST))));
-            TargetReport.RunningRow row = new TargetReport.RunningRow(TASK, 1, 50);
+            TargetReport.ActiveRun row = new TargetReport.ActiveRun(TASK, 1, 50);
             mCell.report(5, FIRST.id(), List.of(row), List.of());
             mCell.listed(6, FIRST);
             mCell.offer(10, JOB, StepRequest.cpuOnly(2, 2_000, 100));
--- a/core/src/test/java/org/boragegap/core/cell/IdleTargetsTest.java
+++ b/core/src/test/java/org/boragegap/core/cell/IdleTargetsTest.java
@@ -16,12 +16,12 @@
  * that is extended, and its end has to be heard of at once; where nothing runs, neither holds.
  */
 final class IdleTargetsTest {
-    private static final long LENGTH_MS = 12_000;
+    private static final long DURATION_MS = 12_000;
 
-    private static LoadSimulation play(double jobsPerS) {
-        List<LoadSimulation.Arrival> arrivals = LoadSimulation.arrivals(5, jobsPerS, LENGTH_MS);
+    private static LoadSimulation simulate(double jobsPerS) {
+        List<LoadSimulation.Arrival> arrivals = LoadSimulation.arrivals(5, jobsPerS, DURATION_MS);
         LoadSimulation cell =
-                new LoadSimulation(arrivals, LENGTH_MS, LoadSimulation.LostOrders.none());
+                new LoadSimulation(arrivals, DURATION_MS, LoadSimulation.LostOrders.none());
         LoadSimulation.Score score = cell.simulate();
         System.out.printf(
                 "%.0f jobs/s: %.2f lease calls a second and target, in time %.3f%n",
@@ -33,14 +33,14 @@
 
     /** A job in 10 s for each target, as at night. It was 3.3 calls a second before. */
     @Test
-    void targetsThatRunNothingAreAskedOnceASecond() {
-        assertThat(play(3).leaseCallsPerTarget()).isAtMost(1.6);
+    void idleTargetsArePolledOncePerSecond() {
+        assertThat(simulate(3).leaseCallsPerTarget()).isAtMost(1.6);
     }
 
     /** Half of what the targets can do, as on a quiet day: each end is heard of as before. */
     @Test
-    void aUsualLoadIsServedAllTheSame() {
-        play(60);
+    void typicalLoadIsServedInTime() {
+        simulate(60);
     }
 
     /** One target, its calls and answers at stated times. */
@@ -108,7 +108,7 @@
          * caller waits for the second run.
          */
         @Test
-        void aRunThatOutlastsItsFirstLeaseIsExtendedInTime() {
+        void leaseOfLongRunIsExtendedInTime() {
             idleTarget(5);
             offer(200, "00000000000000a1");
             assertThat(starts()).hasSize(1);
@@ -130,7 +130,7 @@
          * no work at the end of each idle second.
          */
         @Test
-        void anIdleTargetWhoseLeaseIsOverStillGetsWork() {
+        void idleTargetWithExpiredLeaseGetsWork() {
             idleTarget(60);
             CellAction.ExtendLease standing = lastCall();
             ticks(70, 1_150);
@@ -145,7 +145,7 @@
          * be held back for 300 ms; from then on it is given nothing.
          */
         @Test
-        void anIdleTargetThatFallsSilentGetsNoWork() {
+        void unresponsiveIdleTargetGetsNoWork() {
             idleTarget(5);
             ticks(10, 2_400);
             offer(2_410, "00000000000000a3");
--- a/core/src/test/java/org/boragegap/core/cell/KnownEndsTest.java
+++ b/core/src/test/java/org/boragegap/core/cell/KnownEndsTest.java
@@ -22,14 +22,14 @@
 
     private final ScriptedCell mCell = new ScriptedCell();
 
-    private static TargetReport.EndedRow done(long number, TaskName task, int run) {
-        return new TargetReport.EndedRow(number, task, run, EndCause.DONE);
+    private static TargetReport.EndedRun done(long number, TaskName task, int run) {
+        return new TargetReport.EndedRun(number, task, run, EndCause.DONE);
     }
 
     /** A term begins in which the target reports what ended under an earlier controller. */
     @Nested
     final class BeforeTheJobIsOffered {
-        private void inherit(TargetReport.EndedRow... ended) {
+        private void inherit(TargetReport.EndedRun... ended) {
             mCell.evacuate(0);
             mCell.on(0, new CellEvent.TermBegan(9, Optional.of(List.of(FIRST))));
             mCell.report(5, FIRST.id(), List.of(), List.of(ended));
@@ -105,15 +105,15 @@
             assertThat(mSecondStart.target().id()).isEqualTo(other.id());
         }
 
-        private List<TargetReport.RunningRow> runningOn(TargetInfo target) {
+        private List<TargetReport.ActiveRun> runningOn(TargetInfo target) {
             return mCell.starts().stream()
                     .filter(start -> start.target().id().equals(target.id()))
-                    .map(start -> new TargetReport.RunningRow(start.task(), start.run(), 90))
+                    .map(start -> new TargetReport.ActiveRun(start.task(), start.run(), 90))
                     .toList();
         }
 
         private void reportDone(long ms, CellAction.StartRun start) {
-            TargetReport.EndedRow row = done(1, start.task(), start.run());
+            TargetReport.EndedRun row = done(1, start.task(), start.run());
             mCell.report(ms, start.target().id(), List.of(), List.of(row));
         }
 
@@ -123,8 +123,8 @@
             expireLeaseAndRestart(ONE_TASK);
             reportDone(LEASE_EXPIRED_MS + 10, mExpiredStart);
             mCell.ticks(LEASE_EXPIRED_MS + 20, LEASE_EXPIRED_MS + 200);
-            TargetReport.EndedRow failed =
-                    new TargetReport.EndedRow(1, TASK, mSecondStart.run(), EndCause.FAILED);
+            TargetReport.EndedRun failed =
+                    new TargetReport.EndedRun(1, TASK, mSecondStart.run(), EndCause.FAILED);
             mCell.report(
                     LEASE_EXPIRED_MS + 210, mSecondStart.target().id(), List.of(), List.of(failed));
             assertThat(mCell.verdicts()).containsExactly(new Verdict.Completed());
--- a/core/src/test/java/org/boragegap/core/cell/LoadSimulation.java
+++ b/core/src/test/java/org/boragegap/core/cell/LoadSimulation.java
@@ -182,7 +182,8 @@
         long endMs = ARRIVALS_START_MS + mLengthMs + COMPLETION_WINDOW_MS;
         for (long at = 5; at < endMs; at += STEP_MS) {
             mSchedule.add(
-                    new ScheduledAction(at, () -> mTargets.forEach(target -> target.at(mNowMs))));
+                    new ScheduledAction(
+                            at, () -> mTargets.forEach(target -> target.advanceTo(mNowMs))));
         }
         for (Arrival arrival : mArrivals) {
             mSchedule.add(
--- a/core/src/test/java/org/boragegap/core/cell/OrderTransport.java
+++ b/core/src/test/java/org/boragegap/core/cell/OrderTransport.java
@@ -64,7 +64,7 @@
     private void arrive(
             FakeTarget target, CellAction order, boolean late, Consumer<CellEvent> answer) {
         if (!target.alive()) {
-            if (mPlatform.answersAt(target.info().address())) {
+            if (mPlatform.isTargetAliveAt(target.info().address())) {
                 answer.accept(Orders.failed(order, OrderResult.OTHER_INCARNATION));
             }
             return;
@@ -76,7 +76,7 @@
     }
 
     private void execute(FakeTarget target, CellAction order, Consumer<CellEvent> answer) {
-        target.at(mClock.nowMs());
+        target.advanceTo(mClock.nowMs());
         if (order instanceof CellAction.ExtendLease extend) {
             target.extend(extend, answer);
         } else if (order instanceof CellAction.StartRun start) {
--- a/core/src/test/java/org/boragegap/core/cell/ReplacedTargetTest.java
+++ b/core/src/test/java/org/boragegap/core/cell/ReplacedTargetTest.java
@@ -36,7 +36,7 @@
 
         /** Guards against a task ordered again and again to an incarnation that is gone. */
         @Test
-        void theTaskGoesToAnotherTarget() {
+        void taskStartsOnAnotherTarget() {
             mCell.answer(12, mStart, OrderResult.OTHER_INCARNATION);
             List<String> startedOn = mCell.startedOn();
             assertThat(startedOn).hasSize(2);
@@ -45,7 +45,7 @@
 
         /** Guards against the order that told of the replacement being counted as a crash. */
         @Test
-        void theOrderIsNoCrash() {
+        void orderIsNotACrash() {
             mCell.answer(12, mStart, OrderResult.OTHER_INCARNATION);
             assertThat(mCell.actions(CellAction.BroadcastCrash.class)).isEmpty();
         }
@@ -57,7 +57,7 @@
 
         /** Guards against a caller waiting for a run that is known to be gone with its target. */
         @Test
-        void theLostRunStartsElsewhereAtOnce() {
+        void lostRunRestartsElsewhereImmediately() {
             mCell.offer(10, OTHER_JOB, 1);
             CellAction.StartRun lost = mCell.starts().get(0);
             mCell.acceptStart(12, lost);
@@ -79,10 +79,10 @@
     }
 
     @Nested
-    class AllAtOnce {
+    class AllTargetsReplaced {
         /** Guards against a refusal as impossible while all targets that could hold it restart. */
         @Test
-        void aJobWaitsForTheirSuccessors() {
+        void jobWaitsForSuccessors() {
             mCell.answerAsReplacement(100, FIRST.id());
             mCell.answerAsReplacement(100, SECOND.id());
             mCell.offer(110, JOB, 1);
@@ -96,7 +96,7 @@
 
         /** Guards against a job that waits for targets which don't come back. */
         @Test
-        void aJobThatNobodyCanHoldIsRefusedSoon() {
+        void jobIsDeclinedWhenNoSuccessorComes() {
             mCell.answerAsReplacement(100, FIRST.id());
             mCell.answerAsReplacement(100, SECOND.id());
             mCell.ticks(110, 2_700);
@@ -107,43 +107,43 @@
 
     @Nested
     class Successor {
-        private static final long LAPSED_MS = 7_000;
-        private static final TargetInfo REBORN = ScriptedCell.target("t9", "x:1", "a", 2_000);
+        private static final long LEASE_EXPIRED_MS = 7_000;
+        private static final TargetInfo SUCCESSOR = ScriptedCell.target("t9", "x:1", "a", 2_000);
 
         /** The first is found gone, its successor takes a task and falls silent until it lapses. */
-        private void runOnTheSuccessorUntilItLapses() {
+        private void runOnSuccessorUntilLeaseExpires() {
             mCell.answerAsReplacement(10, FIRST.id());
-            mCell.listed(20, ScriptedCell.leaving(SECOND), REBORN);
-            mCell.report(30, REBORN.id(), List.of(), List.of());
+            mCell.listed(20, ScriptedCell.leaving(SECOND), SUCCESSOR);
+            mCell.report(30, SUCCESSOR.id(), List.of(), List.of());
             mCell.on(300, new CellEvent.Ticked());
-            mCell.report(310, REBORN.id(), List.of(), List.of());
+            mCell.report(310, SUCCESSOR.id(), List.of(), List.of());
             mCell.offer(320, JOB, 1);
             CellAction.StartRun start = mCell.starts().get(0);
-            assertThat(start.target().id()).isEqualTo(REBORN.id());
+            assertThat(start.target().id()).isEqualTo(SUCCESSOR.id());
             mCell.acceptStart(330, start);
-            mCell.ticks(340, LAPSED_MS);
+            mCell.ticks(340, LEASE_EXPIRED_MS);
             mCell.clearActions();
         }
 
         /** Guards against the entry of a target that is gone being taken for a later one. */
         @Test
-        void itIsNotReplacedByAnEntryOfItsPredecessor() {
-            runOnTheSuccessorUntilItLapses();
-            mCell.listed(LAPSED_MS + 10, FIRST, SECOND, REBORN);
+        void stalePredecessorEntryDoesNotReplaceSuccessor() {
+            runOnSuccessorUntilLeaseExpires();
+            mCell.listed(LEASE_EXPIRED_MS + 10, FIRST, SECOND, SUCCESSOR);
             assertThat(mCell.actions(CellAction.BroadcastCrash.class)).isEmpty();
         }
 
         /** Guards against a target that answers being taken for crashed by its own answer. */
         @Test
-        void itHasNotCrashedWhenItAnswersForItsPredecessor() {
+        void successorAnsweringForPredecessorHasNotCrashed() {
             mCell.ticks(20, 3_000);
-            mCell.listed(3_010, FIRST, SECOND, REBORN);
-            mCell.report(3_020, REBORN.id(), List.of(), List.of());
+            mCell.listed(3_010, FIRST, SECOND, SUCCESSOR);
+            mCell.report(3_020, SUCCESSOR.id(), List.of(), List.of());
             mCell.on(3_300, new CellEvent.Ticked());
-            mCell.report(3_310, REBORN.id(), List.of(), List.of());
+            mCell.report(3_310, SUCCESSOR.id(), List.of(), List.of());
             mCell.offer(3_320, JOB, 1);
             CellAction.StartRun start = mCell.starts().get(0);
-            assertThat(start.target().id()).isEqualTo(REBORN.id());
+            assertThat(start.target().id()).isEqualTo(SUCCESSOR.id());
             mCell.acceptStart(3_330, start);
             mCell.ticks(3_340, 9_000);
             mCell.answerAsReplacement(9_010, FIRST.id());
@@ -152,7 +152,7 @@
 
         /** Guards against calls to a target that is gone for as long as its entry stands. */
         @Test
-        void nothingMoreIsSentToThePredecessor() {
+        void nothingIsSentToReplacedTarget() {
             mCell.answerAsReplacement(10, FIRST.id());
             int calls = mCell.actions(CellAction.ExtendLease.class).size();
             mCell.listed(20, FIRST, SECOND);
--- a/core/src/test/java/org/boragegap/core/cell/ReportedAbsenceTest.java
+++ b/core/src/test/java/org/boragegap/core/cell/ReportedAbsenceTest.java
@@ -27,17 +27,17 @@
         mCell.evacuate(0);
     }
 
-    private static List<TargetReport.EndedRow> endsOfOthers(int count) {
-        List<TargetReport.EndedRow> ends = new ArrayList<>();
+    private static List<TargetReport.EndedRun> endsOfOthers(int count) {
+        List<TargetReport.EndedRun> ends = new ArrayList<>();
         for (int i = 1; i <= count; i++) {
             TaskName task = new TaskName(OTHER_JOB, 0, 0, i);
-            ends.add(new TargetReport.EndedRow(i, task, 1, EndCause.DONE));
+            ends.add(new TargetReport.EndedRun(i, task, 1, EndCause.DONE));
         }
         return ends;
     }
 
-    private static TargetReport.EndedRow done(long number, int run) {
-        return new TargetReport.EndedRow(number, TASK, run, EndCause.DONE);
+    private static TargetReport.EndedRun done(long number, int run) {
+        return new TargetReport.EndedRun(number, TASK, run, EndCause.DONE);
     }
 
     @Nested
@@ -51,11 +51,11 @@
             mCell.offer(10, JOB, 1);
             mStart = mCell.starts().get(0);
             mCell.acceptStart(12, mStart);
-            report(20, List.of(new TargetReport.RunningRow(TASK, mStart.run(), 50)), List.of());
+            report(20, List.of(new TargetReport.ActiveRun(TASK, mStart.run(), 50)), List.of());
         }
 
         private void report(
-                long ms, List<TargetReport.RunningRow> running, List<TargetReport.EndedRow> ended) {
+                long ms, List<TargetReport.ActiveRun> running, List<TargetReport.EndedRun> ended) {
             mCell.report(ms, mStart.target().id(), running, ended);
         }
 
@@ -90,7 +90,7 @@
         @Test
         void aReportFullOfEndsProvesNoAbsence() {
             mCell.on(0, new CellEvent.TermBegan(9, Optional.of(List.of(FIRST))));
-            TargetReport.RunningRow row = new TargetReport.RunningRow(TASK, 1, 50);
+            TargetReport.ActiveRun row = new TargetReport.ActiveRun(TASK, 1, 50);
             mCell.report(5, FIRST.id(), List.of(row), List.of());
             mCell.on(6, new CellEvent.PredecessorsKnown(true));
             mCell.listed(6, FIRST);
--- a/core/src/test/java/org/boragegap/core/cell/ScriptedCell.java
+++ b/core/src/test/java/org/boragegap/core/cell/ScriptedCell.java
@@ -32,7 +32,7 @@
                 info.memoryMb(),
                 info.accelerators(),
                 info.labels(),
-                info.guarded(),
+                info.enforcesCapacity(),
                 true);
     }
 
@@ -68,8 +68,8 @@
     void report(
             long ms,
             String target,
-            List<TargetReport.RunningRow> running,
-            List<TargetReport.EndedRow> ended) {
+            List<TargetReport.ActiveRun> running,
+            List<TargetReport.EndedRun> ended) {
         TargetReport report = new TargetReport(ms, running, ended);
         on(ms, new CellEvent.LeaseExtended(target, lastCall(target), report));
     }
--- a/core/src/test/java/org/boragegap/core/cell/ChangingRoomTest.java
+++ b/core/src/test/java/org/boragegap/core/cell/TargetCapacityChangeTest.java
@@ -9,32 +9,32 @@
  * Targets say that they have less room, or more, while tasks run there. They start whatever they
  * are told to: one task too many slows down all that run beside it, and their callers wait.
  */
-final class ChangingRoomTest {
+final class TargetCapacityChangeTest {
     private static final String JOB = "00000000000000e1";
     private static final String OTHER_JOB = "00000000000000e2";
 
     private final ScriptedCell mCell = new ScriptedCell();
 
-    private static TargetInfo withRoom(int cpuMillis) {
+    private static TargetInfo withCapacity(int cpuMillis) {
         return ScriptedCell.target("t1", "x:1", "a", cpuMillis);
     }
 
     private void begin() {
         mCell.evacuate(0);
-        mCell.begin(0, 7, withRoom(2_000));
-        mCell.listed(5, withRoom(2_000));
+        mCell.begin(0, 7, withCapacity(2_000));
+        mCell.listed(5, withCapacity(2_000));
     }
 
-    private static TargetReport.EndedRow end(
+    private static TargetReport.EndedRun end(
             int number, CellAction.StartRun start, EndCause cause) {
-        return new TargetReport.EndedRow(number, start.task(), start.run(), cause);
+        return new TargetReport.EndedRun(number, start.task(), start.run(), cause);
     }
 
     @Test
-    void aRoomThatHasShrunkBelowWhatRunsTakesNothingUntilItFits() {
+    void nothingStartsWhileRunsExceedShrunkCapacity() {
         begin();
         mCell.offer(10, JOB, 2);
-        mCell.listed(20, withRoom(1_000));
+        mCell.listed(20, withCapacity(1_000));
         mCell.offer(30, OTHER_JOB, 1);
         assertThat(mCell.starts()).hasSize(2);
         mCell.report(110, "t1", List.of(), List.of(end(1, mCell.starts().get(0), EndCause.DONE)));
@@ -44,17 +44,17 @@
     }
 
     @Test
-    void aRoomThatHasGrownIsUsedAtOnce() {
+    void grownCapacityIsUsedImmediately() {
         begin();
         mCell.offer(10, JOB, 3);
         assertThat(mCell.starts()).hasSize(2);
-        mCell.listed(20, withRoom(3_000));
+        mCell.listed(20, withCapacity(3_000));
         assertThat(mCell.starts()).hasSize(3);
     }
 
     /** One task has failed for good; the other is stopped and takes its room until it has ended. */
     @Test
-    void whatIsBeingStoppedCounts() {
+    void stoppingRunStillUsesCapacity() {
         begin();
         mCell.offer(10, JOB, 2);
         mCell.starts().forEach(start -> mCell.acceptStart(12, start));
@@ -62,7 +62,7 @@
         CellAction.StartRun second = mCell.starts().get(1);
         mCell.report(20, "t1", List.of(), List.of(end(1, first, EndCause.FAILED)));
         assertThat(mCell.actions(CellAction.StopRun.class)).hasSize(1);
-        mCell.listed(25, withRoom(1_000));
+        mCell.listed(25, withCapacity(1_000));
         mCell.offer(30, OTHER_JOB, 1);
         assertThat(mCell.starts()).hasSize(2);
         mCell.report(60, "t1", List.of(), List.of(end(2, second, EndCause.STOPPED)));
@@ -71,12 +71,12 @@
 
     /** A new controller hears of runs whose job nobody has offered yet: their size is unknown. */
     @Test
-    void whatATakeoverFindsAtWorkCountsInTheRoomOfNow() {
+    void inheritedRunsCountAgainstCurrentCapacity() {
         TaskName found = new TaskName(JOB, 0, 0, 0);
         mCell.evacuate(0);
-        mCell.begin(0, 7, withRoom(2_000));
-        mCell.listed(5, withRoom(1_000));
-        mCell.report(10, "t1", List.of(new TargetReport.RunningRow(found, 1, 50)), List.of());
+        mCell.begin(0, 7, withCapacity(2_000));
+        mCell.listed(5, withCapacity(1_000));
+        mCell.report(10, "t1", List.of(new TargetReport.ActiveRun(found, 1, 50)), List.of());
         mCell.offer(20, OTHER_JOB, 1);
         assertThat(mCell.starts()).isEmpty();
         mCell.offer(30, JOB, 1);
@@ -85,12 +85,12 @@
 
     /** Nothing has started of it, and no target can hold one of its tasks any more. */
     @Test
-    void aWaitingJobThatFitsNowhereAnyMoreIsRefusedAtOnce() {
+    void waitingJobThatNoLongerFitsIsDeclined() {
         begin();
         mCell.offer(10, JOB, 1);
         mCell.offer(11, OTHER_JOB, StepRequest.cpuOnly(1, 2_000, 100));
         assertThat(mCell.verdicts()).isEmpty();
-        mCell.listed(20, withRoom(1_500));
+        mCell.listed(20, withCapacity(1_500));
         assertThat(mCell.verdicts()).hasSize(1);
         assertThat(mCell.verdicts().get(0)).isInstanceOf(Verdict.Declined.class);
     }
--- a/core/src/test/java/org/boragegap/core/cell/RefusingTargetTest.java
+++ b/core/src/test/java/org/boragegap/core/cell/UnreachableTargetTest.java
@@ -7,13 +7,13 @@
 import org.junit.jupiter.api.Test;
 
 /** A target's process has died: its VM refuses each connection. */
-final class RefusingTargetTest {
+final class UnreachableTargetTest {
     private static final String JOB = "00000000000000e1";
     private static final TargetInfo FIRST = ScriptedCell.target("t1", "x:1", "a", 2_000);
     private static final TargetInfo SECOND = ScriptedCell.target("t2", "x:2", "a", 2_000);
 
     /** A lease, on a clock that is 2% slow, and some calls. */
-    private static final long LAPSED_MS = 1_500;
+    private static final long LEASE_EXPIRED_MS = 1_500;
 
     private final ScriptedCell mCell = new ScriptedCell();
     private CellAction.StartRun mStart;
@@ -28,7 +28,7 @@
         mCell.acceptStart(12, mStart);
     }
 
-    private void refuseUntil(long untilMs) {
+    private void refuseConnectionsUntil(long untilMs) {
         TargetInfo other = mStart.target().equals(FIRST) ? SECOND : FIRST;
         for (long ms = 20; ms <= untilMs; ms += 10) {
             mCell.refused(ms, mStart.target().id());
@@ -41,16 +41,16 @@
 
     /** Guards against runs that wait for ever since calls that were never sent extend a lease. */
     @Test
-    void itsRunsStartElsewhereAfterALease() {
-        refuseUntil(LAPSED_MS);
+    void runsRestartElsewhereAfterLeaseExpiry() {
+        refuseConnectionsUntil(LEASE_EXPIRED_MS);
         assertThat(mCell.starts()).hasSize(2);
         assertThat(mCell.startedOn()).containsNoDuplicates();
     }
 
     /** Guards against orders that go to a target again and again while it takes no connection. */
     @Test
-    void itIsGivenNoWork() {
-        refuseUntil(300);
+    void unreachableTargetGetsNoWork() {
+        refuseConnectionsUntil(300);
         mCell.clearActions();
         mCell.offer(310, "00000000000000e2", 2);
         assertThat(mCell.startedOn()).doesNotContain(mStart.target().id());
@@ -58,10 +58,10 @@
 
     /** Guards against a sound target that stays out of use when it is back after a cut. */
     @Test
-    void itIsInUseAgainWhenItAnswers() {
-        refuseUntil(300);
+    void targetIsUsedAgainOnceItAnswers() {
+        refuseConnectionsUntil(300);
         mCell.ticks(310, 420);
-        TargetReport.RunningRow at = new TargetReport.RunningRow(mStart.task(), mStart.run(), 50);
+        TargetReport.ActiveRun at = new TargetReport.ActiveRun(mStart.task(), mStart.run(), 50);
         mCell.report(430, mStart.target().id(), List.of(at), List.of());
         mCell.clearActions();
         mCell.offer(440, "00000000000000e2", 3);
--- a/wire/src/main/java/org/boragegap/wire/RecordFields.java
+++ b/wire/src/main/java/org/boragegap/wire/RecordFields.java
@@ -131,7 +131,7 @@
         for (String label : target.labels()) {
             packer.packString(label);
         }
-        packer.packBoolean(target.guarded()).packBoolean(target.draining());
+        packer.packBoolean(target.enforcesCapacity()).packBoolean(target.draining());
     }
 
     static TargetInfo unpackTarget(MessageUnpacker unpacker) throws IOException {
