--- a/core/src/main/java/org/boragegap/core/cell/Candidacy.java
+++ b/core/src/main/java/org/boragegap/core/cell/Candidacy.java
@@ -29,56 +29,56 @@
      * Were the next one to ask meanwhile too, the group would deal the cell among both, and again
      * whenever another lost VM's lease ends; each move costs callers up to a second.
      */
-    private static final long STEP_MS = 600;
+    private static final long STAGGER_MS = 600;
 
     /** Steps that the last VMs of a large group wait at the most. */
-    private static final int MOST_STEPS = 5;
+    private static final int MAX_STAGGER_STEPS = 5;
 
     /** Time between two messages that tell the others, in ms. */
-    private static final long TELL_EVERY_MS = 100;
+    private static final long NOTICE_INTERVAL_MS = 100;
 
     /** How long such a message counts, in ms; three of them. */
-    private static final long COUNTS_MS = 300;
+    private static final long NOTICE_VALID_MS = 300;
 
     /**
      * How many of the strongest VMs are told; they are the first in order, so the others' word is
      * of use to them alone, and messages of all to all grow with the square of the VMs.
      */
-    private static final int MOST_TOLD = 12;
+    private static final int MAX_NOTICE_RECIPIENTS = 12;
 
-    private record Missed(int strength, long atMs) {}
+    private record MissingNotice(int strength, long atMs) {}
 
     /** Time between two joins of a VM that asks, in ms; a join costs a tenth of a call. */
-    private static final long JOIN_EVERY_MS = 50;
+    private static final long JOIN_INTERVAL_MS = 50;
 
-    private final Map<String, Missed> mMissedBy = new HashMap<>();
+    private final Map<String, MissingNotice> mMissingNotices = new HashMap<>();
     private final int mCell;
-    private final HeartbeatPace mPace;
-    private boolean mAsks;
+    private final HeartbeatTiming mTiming;
+    private boolean mCandidate;
 
     /** Since when most VMs have missed the controller for long enough; the maximum if not now. */
-    private long mMostSinceMs = Long.MAX_VALUE;
+    private long mMajoritySinceMs = Long.MAX_VALUE;
 
-    private long mToldMs = Long.MIN_VALUE / 2;
+    private long mLastNoticeMs = Long.MIN_VALUE / 2;
     private long mJoinedMs = Long.MIN_VALUE / 2;
 
-    Candidacy(int cell, HeartbeatPace pace) {
+    Candidacy(int cell, HeartbeatTiming pace) {
         mCell = cell;
-        mPace = pace;
+        mTiming = pace;
     }
 
-    boolean asks() {
-        return mAsks;
+    boolean isCandidate() {
+        return mCandidate;
     }
 
     /** This VM can't take the cell, or hears another one control it. */
-    void withdraw() {
-        mAsks = false;
+    void end() {
+        mCandidate = false;
     }
 
     /** Another VM says that it misses the controller. */
-    void missedBy(String peer, int strength, long nowMs) {
-        mMissedBy.put(peer, new Missed(strength, nowMs));
+    void recordMissingNotice(String peer, int strength, long nowMs) {
+        mMissingNotices.put(peer, new MissingNotice(strength, nowMs));
     }
 
     /**
@@ -86,11 +86,11 @@
      *
      * @param silentMs for how long no controller was heard of, in ms
      */
-    boolean tells(long silentMs, long nowMs) {
-        if (silentMs <= mPace.missedMs() || nowMs - mToldMs < TELL_EVERY_MS) {
+    boolean shouldSendNotice(long silentMs, long nowMs) {
+        if (silentMs <= mTiming.missingAfterMs() || nowMs - mLastNoticeMs < NOTICE_INTERVAL_MS) {
             return false;
         }
-        mToldMs = nowMs;
+        mLastNoticeMs = nowMs;
         return true;
     }
 
@@ -103,69 +103,70 @@
      * @param strength how much processor this VM has for the cell
      * @param peers the other VMs in the group
      */
-    void turn(long silentMs, String self, int strength, Set<String> peers, long nowMs) {
-        if (silentMs <= mPace.missedMs()) {
-            mAsks = false;
-            mMostSinceMs = Long.MAX_VALUE;
+    void update(long silentMs, String self, int strength, Set<String> peers, long nowMs) {
+        if (silentMs <= mTiming.missingAfterMs()) {
+            mCandidate = false;
+            mMajoritySinceMs = Long.MAX_VALUE;
             return;
         }
-        List<String> voters = peers.stream().filter(peer -> missesIt(peer, nowMs)).toList();
+        List<String> voters = peers.stream().filter(peer -> hasMissingNotice(peer, nowMs)).toList();
         boolean most = 2 * (voters.size() + 1) > peers.size() + 1;
-        if (!most || silentMs <= mPace.silentMs()) {
-            mMostSinceMs = Long.MAX_VALUE;
+        if (!most || silentMs <= mTiming.lostAfterMs()) {
+            mMajoritySinceMs = Long.MAX_VALUE;
             return;
         }
-        mMostSinceMs = Math.min(mMostSinceMs, nowMs);
-        long before = voters.stream().filter(peer -> isBefore(peer, self, strength)).count();
-        long steps = Math.min(before, MOST_STEPS);
-        mAsks |= nowMs - mMostSinceMs >= steps * STEP_MS;
+        mMajoritySinceMs = Math.min(mMajoritySinceMs, nowMs);
+        long before = voters.stream().filter(peer -> ranksBefore(peer, self, strength)).count();
+        long steps = Math.min(before, MAX_STAGGER_STEPS);
+        mCandidate |= nowMs - mMajoritySinceMs >= steps * STAGGER_MS;
     }
 
     /**
      * Whether to join now. The group deals the cell with the first join after its last holder is
      * dropped; one that asks joins often, so as not to lose a quarter of a second then.
      */
-    boolean joins(long nowMs) {
-        if (!mAsks || nowMs - mJoinedMs < JOIN_EVERY_MS) {
+    boolean shouldJoin(long nowMs) {
+        if (!mCandidate || nowMs - mJoinedMs < JOIN_INTERVAL_MS) {
             return false;
         }
         mJoinedMs = nowMs;
         return true;
     }
 
-    private boolean missesIt(String peer, long nowMs) {
-        Missed missed = mMissedBy.get(peer);
-        return missed != null && nowMs - missed.atMs() < COUNTS_MS;
+    private boolean hasMissingNotice(String peer, long nowMs) {
+        MissingNotice missed = mMissingNotices.get(peer);
+        return missed != null && nowMs - missed.atMs() < NOTICE_VALID_MS;
     }
 
     /** The stronger one is before; among equals the order differs from cell to cell. */
-    private boolean isBefore(String peer, String self, int strength) {
-        int byStrength = Integer.compare(strength, mMissedBy.get(peer).strength());
+    private boolean ranksBefore(String peer, String self, int strength) {
+        int byStrength = Integer.compare(strength, mMissingNotices.get(peer).strength());
         if (byStrength != 0) {
             return byStrength < 0;
         }
-        int byHash = Integer.compare(place(peer), place(self));
+        int byHash = Integer.compare(tieBreaker(peer), tieBreaker(self));
         return byHash != 0 ? byHash < 0 : peer.compareTo(self) < 0;
     }
 
-    private int place(String address) {
+    private int tieBreaker(String address) {
         byte[] bytes = (mCell + "/" + address).getBytes(StandardCharsets.UTF_8);
         return MurmurHash3.hash32x86(bytes);
     }
 
     /** The VMs that should be told: the strongest ones, and those of unknown strength. */
-    Set<String> toTell(Set<String> peers) {
-        if (peers.size() <= MOST_TOLD) {
+    Set<String> noticeRecipients(Set<String> peers) {
+        if (peers.size() <= MAX_NOTICE_RECIPIENTS) {
             return peers;
         }
         Set<String> told = new HashSet<>(peers);
-        told.removeAll(mMissedBy.keySet());
+        told.removeAll(mMissingNotices.keySet());
         peers.stream()
-                .filter(mMissedBy::containsKey)
+                .filter(mMissingNotices::containsKey)
                 .sorted(
-                        Comparator.comparingInt((String peer) -> -mMissedBy.get(peer).strength())
-                                .thenComparingInt(this::place))
-                .limit(MOST_TOLD)
+                        Comparator.comparingInt(
+                                        (String peer) -> -mMissingNotices.get(peer).strength())
+                                .thenComparingInt(this::tieBreaker))
+                .limit(MAX_NOTICE_RECIPIENTS)
                 .forEach(told::add);
         return told;
     }
--- a/core/src/main/java/org/boragegap/core/cell/CellController.java
+++ b/core/src/main/java/org/boragegap/core/cell/CellController.java
@@ -80,7 +80,7 @@
         int open = 0;
         for (Target target : mTerm.targets().values()) {
             runs += target.runs().size();
-            open += mTerm.takesWork(target) ? 1 : 0;
+            open += mTerm.acceptsWork(target) ? 1 : 0;
         }
         return new CellState(
                 mTerm.fence(), mTerm.targets().size(), open, mTerm.jobs().size(), runs);
@@ -109,8 +109,8 @@
         if (mTerm == null) {
             return;
         }
-        mTerm.at(clock.monotonicMs(), actions);
-        mTerm.actsUntil(mExclusiveUntilMs);
+        mTerm.beginEvent(clock.monotonicMs(), actions);
+        mTerm.exclusiveUntil(mExclusiveUntilMs);
         handle(event);
         schedule();
     }
@@ -118,8 +118,8 @@
     private void begin(CellEvent.TermBegan began, ClockReading clock, List<CellAction> actions) {
         long fence = began.fence();
         mTerm = new Term(fence, clock.monotonicMs(), mEvacuations, mCrashes, mStarted);
-        mTerm.at(clock.monotonicMs(), actions);
-        mTerm.actsUntil(mExclusiveUntilMs);
+        mTerm.beginEvent(clock.monotonicMs(), actions);
+        mTerm.exclusiveUntil(mExclusiveUntilMs);
         mCrashWatch = new CrashDetector(mTerm);
         mRuns = new RunTracker(mTerm, mRunTimes, mCrashWatch);
         mLeases = new LeaseManager(mTerm, mRuns, mCrashWatch, () -> mNextCall++);
@@ -201,7 +201,7 @@
             return true;
         }
         // No controller asks for a longer lease than this, whatever a target may grant.
-        long leaseMs = Math.min(mSettings.leaseMaxMs(), LeaseManager.LEASE_MS);
+        long leaseMs = Math.min(mSettings.maxLeaseMs(), LeaseManager.LEASE_MS);
         long boundMs = (long) (leaseMs / MIN_CLOCK_RATE) + SETTLE_MARGIN_MS;
         long ageMs = mTerm.nowMs() - mTerm.sinceMs();
         boolean over = ageMs > boundMs && !mTerm.targets().isEmpty();
@@ -222,7 +222,7 @@
             return;
         }
         boolean settled = settled();
-        mTerm.putLateBehind();
+        mTerm.demoteLateJobs();
         if (settled) {
             startTasks();
         }
--- a/core/src/main/java/org/boragegap/core/cell/CellLayout.java
+++ b/core/src/main/java/org/boragegap/core/cell/CellLayout.java
@@ -17,9 +17,9 @@
  * another counts for a lease, which has to be the same on all.
  *
  * @param cells how many there are
- * @param leastLeaseMs least lease that a VM asks the group for, in ms
+ * @param minLeaseMs least lease that a VM asks the group for, in ms
  */
-public record CellLayout(int cells, long leastLeaseMs) {
+public record CellLayout(int cells, long minLeaseMs) {
     /**
      * Targets of one cell, about: what the controller of one core bears; smaller cells pool less
      * room, and refuse callers while others have some.
@@ -35,7 +35,7 @@
     private static final String SEPARATOR = " ";
 
     /** Share of its processor that a VM may use for a cell; the rest is for its own callers. */
-    private static final double MOST_OF_CPU = 0.5;
+    private static final double MAX_CELL_CPU_SHARE = 0.5;
 
     /**
      * A controller with less processor than this, in thousandths of a core, needs a longer lease:
@@ -48,10 +48,10 @@
     private static final long SLOW_LEASE_MS = 3_000;
 
     /** Longest lease that a layout may name, in ms; far more than any VM is held up. */
-    private static final long MOST_LEASE_MS = 60_000;
+    private static final long MAX_LEASE_MS = 60_000;
 
     /** Most cells; each has a topic in the store, which has room for 100. */
-    private static final int MOST_CELLS = 60;
+    private static final int MAX_CELLS = 60;
 
     /**
      * The layout for a deployment: cells of about fifty targets, or of as many fewer as the VMs
@@ -63,17 +63,17 @@
      */
     public static CellLayout forDeployment(int targets, List<Integer> cpuMillis) {
         int fewest = Math.max(1, (targets + TARGETS_PER_CELL - 1) / TARGETS_PER_CELL);
-        int most = Math.min(MOST_CELLS, Math.max(fewest, cpuMillis.size()));
+        int most = Math.min(MAX_CELLS, Math.max(fewest, cpuMillis.size()));
         List<Integer> strongestFirst = new ArrayList<>(cpuMillis);
         strongestFirst.sort(Comparator.reverseOrder());
-        int cells = Math.min(MOST_CELLS, fewest);
-        while (cells < most && !bears(strongestFirst, targets, cells)) {
+        int cells = Math.min(MAX_CELLS, fewest);
+        while (cells < most && !canCarryCells(strongestFirst, targets, cells)) {
             cells++;
         }
-        return new CellLayout(cells, leastLeaseMs(strongestFirst, cells));
+        return new CellLayout(cells, minLeaseMs(strongestFirst, cells));
     }
 
-    private static long leastLeaseMs(List<Integer> strongestFirst, int cells) {
+    private static long minLeaseMs(List<Integer> strongestFirst, int cells) {
         int last = Math.min(cells, strongestFirst.size()) - 1;
         boolean slow = last >= 0 && strongestFirst.get(last) < SLOW_CPU_MILLIS;
         return slow ? SLOW_LEASE_MS : 0;
@@ -85,12 +85,12 @@
     }
 
     /** True when each of the strongest VMs can bear one of so many cells. */
-    private static boolean bears(List<Integer> strongestFirst, int targets, int cells) {
+    private static boolean canCarryCells(List<Integer> strongestFirst, int targets, int cells) {
         if (strongestFirst.size() < cells) {
             return true;
         }
         double perCell = (double) CPU_MILLIS_PER_TARGET * targets / cells;
-        return strongestFirst.get(cells - 1) * MOST_OF_CPU >= perCell;
+        return strongestFirst.get(cells - 1) * MAX_CELL_CPU_SHARE >= perCell;
     }
 
     /** Reads what {@link #text} has written; empty if it can't be read. */
@@ -99,8 +99,8 @@
         try {
             int cells = Integer.parseInt(parts[0]);
             long leaseMs = parts.length == 2 ? Long.parseLong(parts[1]) : 0;
-            boolean good = cells >= 1 && cells <= MOST_CELLS;
-            good &= leaseMs >= 0 && leaseMs <= MOST_LEASE_MS;
+            boolean good = cells >= 1 && cells <= MAX_CELLS;
+            good &= leaseMs >= 0 && leaseMs <= MAX_LEASE_MS;
             return good ? Optional.of(new CellLayout(cells, leaseMs)) : Optional.empty();
         } catch (NumberFormatException e) {
             return Optional.empty();
@@ -109,7 +109,7 @@
 
     /** The layout as text, for the store. */
     public String text() {
-        return leastLeaseMs == 0 ? Integer.toString(cells) : cells + SEPARATOR + leastLeaseMs;
+        return minLeaseMs == 0 ? Integer.toString(cells) : cells + SEPARATOR + minLeaseMs;
     }
 
     /** Cell of a job. */
--- a/core/src/main/java/org/boragegap/core/cell/CellMember.java
+++ b/core/src/main/java/org/boragegap/core/cell/CellMember.java
@@ -14,22 +14,22 @@
  */
 public final class CellMember {
     /** Pause between two reads of the group's members while a term is not settled, in ms. */
-    private static final long READ_AGAIN_MS = 100;
+    private static final long UNSETTLED_READ_INTERVAL_MS = 100;
 
     /** The same while no controller is heard; the group drops a silent member after a second. */
-    private static final long READ_WHILE_MISSING_MS = 400;
+    private static final long MISSING_READ_INTERVAL_MS = 400;
 
     private final String mSelf;
-    private final HeartbeatPace mPace = new HeartbeatPace();
-    private final Heartbeats mHeartbeats = new Heartbeats();
-    private final PendingJobs mDesk;
+    private final HeartbeatTiming mTiming = new HeartbeatTiming();
+    private final HeartbeatSchedule mHeartbeats = new HeartbeatSchedule();
+    private final PendingJobs mPendingJobs;
     private final CellController mController;
     private final Membership mMembership;
 
-    private final Deque<MemberEvent> mToSelf = new ArrayDeque<>();
+    private final Deque<MemberEvent> mLocalEvents = new ArrayDeque<>();
     private final Followers mFollowers = new Followers();
-    private final KnownTargets mTargets = new KnownTargets();
-    private final Predecessors mBefore = new Predecessors();
+    private final LatestTargetList mTargets = new LatestTargetList();
+    private final Predecessors mPredecessors = new Predecessors();
     private final ControllerSearch mSearch;
     private long mMembersReadMs;
     private ClockReading mClock;
@@ -38,10 +38,10 @@
     private CellMember(
             String self, int cell, CellSettings settings, long groupLeaseMs, ClockReading began) {
         mSelf = self;
-        mDesk = PendingJobs.create(mPace, began);
+        mPendingJobs = PendingJobs.create(mTiming, began);
         mController = CellController.create(settings);
         mMembership = Membership.create(groupLeaseMs, began);
-        mSearch = new ControllerSearch(self, cell, mMembership, mDesk, mFollowers, mPace);
+        mSearch = new ControllerSearch(self, cell, mMembership, mPendingJobs, mFollowers, mTiming);
     }
 
     /**
@@ -93,7 +93,7 @@
      * group are over, and would start those that are at work a second time.
      */
     public boolean mayLeave(ClockReading clock) {
-        return mBefore.ownOver(clock.monotonicMs());
+        return mPredecessors.ownLeasesExpired(clock.monotonicMs());
     }
 
     /**
@@ -101,18 +101,18 @@
      * for it. One that follows a controller has heartbeats to miss and callers to watch, whose
      * times are counted in hundreds of ms.
      */
-    public boolean busy() {
+    public boolean needsShortTicks() {
         return wantsCell();
     }
 
     /** Time between two ticks while it isn't busy, in ms. */
     public long idleTickMs() {
-        return mPace.tickMs();
+        return mTiming.tickMs();
     }
 
     /** How many callers wait here. */
     public int waitingCallers() {
-        return mDesk.waitingCallers();
+        return mPendingJobs.waitingCallers();
     }
 
     /** Generation of the group to name when joining again. */
@@ -125,8 +125,8 @@
         mClock = clock;
         mActions = actions;
         handle(event);
-        while (!mToSelf.isEmpty()) {
-            handle(mToSelf.poll());
+        while (!mLocalEvents.isEmpty()) {
+            handle(mLocalEvents.poll());
         }
     }
 
@@ -134,17 +134,17 @@
         if (event instanceof MemberEvent.Joined joined) {
             joined(joined);
         } else if (event instanceof MemberEvent.PeersListed listed) {
-            peers(listed);
+            peersListed(listed);
         } else if (event instanceof MemberEvent.Received received) {
             received(received.from(), received.message());
         } else if (event instanceof MemberEvent.ForController control) {
-            control(control.event());
-        } else if (event instanceof MemberEvent.ForDesk desk) {
-            desk(desk.event());
+            toController(control.event());
+        } else if (event instanceof MemberEvent.ForPendingJobs desk) {
+            toPending(desk.event());
         } else if (event instanceof MemberEvent.Resigned) {
             resign();
-        } else if (event instanceof MemberEvent.Closed) {
-            desk(new EntryEvent.Draining());
+        } else if (event instanceof MemberEvent.Draining) {
+            toPending(new EntryEvent.Draining());
         } else if (event instanceof MemberEvent.Ticked) {
             tick();
         }
@@ -153,14 +153,14 @@
     // Membership
 
     private void joined(MemberEvent.Joined joined) {
-        boolean holds = joined.holdsCell() && !followsAnother();
+        boolean holds = joined.holdsCell() && !hearsAnotherController();
         boolean again = mMembership.joined(joined.generation(), holds, joined.sent(), mClock);
-        followMembership();
-        if (mMembership.justCame(mClock)) {
+        updateTerm();
+        if (mMembership.recentlyJoined(mClock)) {
             readMembers();
         }
         if (again) {
-            mActions.add(new MemberAction.JoinAgain());
+            mActions.add(new MemberAction.Rejoin());
         }
     }
 
@@ -169,22 +169,22 @@
      * controller meanwhile, and would depose it in good health. The group hears of it with the next
      * join. What this VM has heard of itself, before its own term ended, doesn't count.
      */
-    private boolean followsAnother() {
-        Optional<String> heard = mDesk.controller(mClock.monotonicMs());
+    private boolean hearsAnotherController() {
+        Optional<String> heard = mPendingJobs.controller(mClock.monotonicMs());
         return !wantsCell() && heard.filter(address -> !address.equals(mSelf)).isPresent();
     }
 
-    private void peers(MemberEvent.PeersListed listed) {
-        mFollowers.listed(listed.peers(), mClock.monotonicMs());
+    private void peersListed(MemberEvent.PeersListed listed) {
+        mFollowers.updatePeers(listed.peers(), mClock.monotonicMs());
         if (mController.fence().isEmpty()) {
             return;
         }
-        mBefore.membersListed(listed.peers(), listed.askedMs());
-        settle();
+        mPredecessors.membersListed(listed.peers(), listed.askedMs());
+        checkPredecessors();
     }
 
     /** Begins or ends the controller's term as the membership says. */
-    private void followMembership() {
+    private void updateTerm() {
         Optional<Long> held = mMembership.fence();
         Optional<Long> term = mController.fence();
         if (held.equals(term)) {
@@ -192,35 +192,35 @@
         }
         if (term.isPresent()) {
             if (!mController.hasAffectedNoTarget()) {
-                mBefore.ownTermEnded(term.get(), mClock.monotonicMs());
+                mPredecessors.ownTermEnded(term.get(), mClock.monotonicMs());
             }
-            control(new CellEvent.TermEnded());
-            if (!mMembership.dealtAway()) {
+            toController(new CellEvent.TermEnded());
+            if (!mMembership.assignedElsewhere()) {
                 // Told so, another VM asks for the cell at once. Where the group names another
                 // holder already, one more that asks would only make it deal the cell again.
-                sendToAll(new CellMessage.Leaving(term.get()));
+                broadcast(new CellMessage.Leaving(term.get()));
             }
-            mActions.add(new MemberAction.FollowTargets(false));
+            mActions.add(new MemberAction.WatchTargets(false));
         }
         if (held.isPresent()) {
-            Optional<CellMessage.Targets> inherited = targetsBefore();
+            Optional<CellMessage.Targets> inherited = inheritedTargets();
             long inheritedFence = inherited.map(CellMessage.Targets::fence).orElse(0L);
-            mBefore.termBegan(inheritedFence, mClock.monotonicMs());
-            control(
+            mPredecessors.termBegan(inheritedFence, mClock.monotonicMs());
+            toController(
                     new CellEvent.TermBegan(
                             held.get(), inherited.map(CellMessage.Targets::targets)));
             readMembers();
-            mActions.add(new MemberAction.FollowTargets(true));
-            heartbeat();
+            mActions.add(new MemberAction.WatchTargets(true));
+            sendHeartbeat();
         }
     }
 
     /** Looks for a controller while none is heard, and asks for the cell when it is its turn. */
-    private void search() {
+    private void searchController() {
         boolean controls = mController.fence().isPresent();
         boolean able = mController.knowsEvacuations();
-        boolean read = mSearch.look(controls, able, mClock, mActions);
-        if (read && mClock.monotonicMs() - mMembersReadMs >= READ_WHILE_MISSING_MS) {
+        boolean read = mSearch.update(controls, able, mClock, mActions);
+        if (read && mClock.monotonicMs() - mMembersReadMs >= MISSING_READ_INTERVAL_MS) {
             readMembers();
         }
     }
@@ -231,104 +231,104 @@
     }
 
     /** Finds out whether an earlier controller's tasks may still be at work. */
-    private void settle() {
+    private void checkPredecessors() {
         Set<String> vms = mFollowers.peers();
-        if (!mBefore.learn(vms, mMembership.steady(mClock), mClock.monotonicMs())) {
+        if (!mPredecessors.update(vms, mMembership.sawNoOutage(mClock), mClock.monotonicMs())) {
             return;
         }
-        Predecessors.Knowledge known = mBefore.known();
+        Predecessors.Knowledge known = mPredecessors.known();
         log(Decision.self("predecessors", "vms=" + vms.size(), known.name()));
-        if (known.enough()) {
+        if (known.isSufficient()) {
             boolean over = known == Predecessors.Knowledge.OVER;
-            control(new CellEvent.PredecessorsKnown(over));
+            toController(new CellEvent.PredecessorsKnown(over));
         }
     }
 
     /** Whether this VM asks the group for the cell. */
     public boolean wantsCell() {
-        return mSearch.asks() || mController.fence().isPresent();
+        return mSearch.isCandidate() || mController.fence().isPresent();
     }
 
     /**
      * Whether callers do well to come here. A VM that hears neither the store nor a controller
      * can't serve them; told so, the platform sends them to other failure domains.
      */
-    public boolean servesCallers(ClockReading clock) {
+    public boolean canServeCallers(ClockReading clock) {
         boolean isolated = mMembership.storeSilent(clock);
-        return !isolated || mDesk.controller(clock.monotonicMs()).isPresent();
+        return !isolated || mPendingJobs.controller(clock.monotonicMs()).isPresent();
     }
 
     /** Another VM misses the controller; it may have come just now, and be unknown here. */
-    private void missing(String from, CellMessage.Missing missing) {
-        mFollowers.met(from, mClock.monotonicMs());
-        mSearch.missedBy(from, missing.strength(), mClock);
-        if (isLater(missing.fence())) {
+    private void controllerMissing(String from, CellMessage.ControllerMissing missing) {
+        mFollowers.addPeer(from, mClock.monotonicMs());
+        mSearch.recordMissingNotice(from, missing.strength(), mClock);
+        if (isLaterTerm(missing.fence())) {
             deposed(missing.fence());
         }
         mController
                 .fence()
-                .ifPresent(own -> mActions.add(new MemberAction.Send(from, leading(own))));
+                .ifPresent(own -> mActions.add(new MemberAction.Send(from, heartbeat(own))));
     }
 
     /** Targets of the last controller heard of, if it has told them. */
-    private Optional<CellMessage.Targets> targetsBefore() {
-        return mTargets.ofTerm(mDesk.fence());
+    private Optional<CellMessage.Targets> inheritedTargets() {
+        return mTargets.ofTerm(mPendingJobs.fence());
     }
 
     private void resign() {
         mMembership.resign();
-        followMembership();
-        mActions.add(new MemberAction.JoinAgain());
+        updateTerm();
+        mActions.add(new MemberAction.Rejoin());
     }
 
     private void tick() {
         long nowMs = mClock.monotonicMs();
-        mDesk.compensateForStall(mHeartbeats.ticked(nowMs, mPace.tickMs()), nowMs);
-        mMembership.tick(mClock, vouched());
-        followMembership();
-        search();
+        mPendingJobs.compensateForStall(mHeartbeats.recordTick(nowMs, mTiming.tickMs()), nowMs);
+        mMembership.tick(mClock, quorumHeartbeat());
+        updateTerm();
+        searchController();
         if (mController.fence().isPresent()) {
-            control(new CellEvent.Ticked());
-            boolean settled = mBefore.known().enough();
-            if (!settled && nowMs - mMembersReadMs >= READ_AGAIN_MS) {
+            toController(new CellEvent.Ticked());
+            boolean settled = mPredecessors.known().isSufficient();
+            if (!settled && nowMs - mMembersReadMs >= UNSETTLED_READ_INTERVAL_MS) {
                 readMembers();
             }
-            if (mHeartbeats.due(settled, mFollowers.peers().size(), nowMs)) {
-                heartbeat();
+            if (mHeartbeats.isDue(settled, mFollowers.peers().size(), nowMs)) {
+                sendHeartbeat();
             }
         }
-        desk(new EntryEvent.Ticked());
+        toPending(new EntryEvent.Ticked());
     }
 
-    private void heartbeat() {
-        mHeartbeats.sent(mClock.monotonicMs());
+    private void sendHeartbeat() {
+        mHeartbeats.recordSent(mClock.monotonicMs());
         Optional<Long> fence = mController.fence();
         if (fence.isPresent()) {
-            CellMessage.Leading leading = leading(fence.get());
-            mPace.stated(leading.periodMs());
-            sendToAll(leading);
-            desk(new EntryEvent.ControllerHeard(mSelf, fence.get()));
+            CellMessage.Heartbeat leading = heartbeat(fence.get());
+            mTiming.periodAnnounced(leading.periodMs());
+            broadcast(leading);
+            toPending(new EntryEvent.ControllerHeard(mSelf, fence.get()));
         }
     }
 
-    private void sendToAll(CellMessage message) {
+    private void broadcast(CellMessage message) {
         for (String peer : mFollowers.peers()) {
             mActions.add(new MemberAction.Send(peer, message));
         }
     }
 
-    private void tellTargets(List<TargetInfo> targets) {
-        sendToAll(mTargets.next(mController.fence().orElseThrow(), targets));
+    private void broadcastTargets(List<TargetInfo> targets) {
+        broadcast(mTargets.createNext(mController.fence().orElseThrow(), targets));
     }
 
-    private CellMessage.Leading leading(long fence) {
+    private CellMessage.Heartbeat heartbeat(long fence) {
         long periodMs = mHeartbeats.periodMs(mFollowers.peers().size());
-        return new CellMessage.Leading(fence, mClock, periodMs);
+        return new CellMessage.Heartbeat(fence, mClock, periodMs);
     }
 
     /** Since when most others follow this VM without the store, while it hears nothing of it. */
-    private Optional<ClockReading> vouched() {
-        return mMembership.storeSilent(mClock) ? mFollowers.vouched(mClock) : Optional.empty();
+    private Optional<ClockReading> quorumHeartbeat() {
+        return mMembership.storeSilent(mClock) ? mFollowers.endorsed(mClock) : Optional.empty();
     }
 
     // Messages
@@ -337,24 +337,24 @@
         if (message instanceof CellMessage.Offer offer) {
             offered(from, offer);
         } else if (message instanceof CellMessage.Withdraw withdraw) {
-            control(new CellEvent.Withdrawn(from, withdraw.job()));
+            toController(new CellEvent.Withdrawn(from, withdraw.job()));
         } else if (message instanceof CellMessage.Decided decided) {
-            desk(new EntryEvent.Decided(decided.job(), decided.number(), decided.verdict()));
-        } else if (message instanceof CellMessage.Leading leading) {
-            leading(from, leading);
+            toPending(new EntryEvent.Decided(decided.job(), decided.number(), decided.verdict()));
+        } else if (message instanceof CellMessage.Heartbeat leading) {
+            heartbeatReceived(from, leading);
         } else if (message instanceof CellMessage.Leaving leaving) {
-            desk(new EntryEvent.ControllerLeft(leaving.fence()));
-            search();
-        } else if (message instanceof CellMessage.Missing missing) {
-            missing(from, missing);
+            toPending(new EntryEvent.ControllerLeft(leaving.fence()));
+            searchController();
+        } else if (message instanceof CellMessage.ControllerMissing missing) {
+            controllerMissing(from, missing);
         } else if (message instanceof CellMessage.Targets targets) {
-            mTargets.told(targets);
+            mTargets.received(targets);
         } else if (message instanceof CellMessage.Crashed crashed) {
-            control(
+            toController(
                     new CellEvent.CrashReported(
                             crashed.task(), crashed.target(), crashed.evidence()));
-        } else if (message instanceof CellMessage.Following following) {
-            following(from, following);
+        } else if (message instanceof CellMessage.HeartbeatReply following) {
+            heartbeatReplyReceived(from, following);
         }
     }
 
@@ -366,7 +366,7 @@
     private void offered(String from, CellMessage.Offer offer) {
         boolean meant = mController.fence().filter(own -> own == offer.fence()).isPresent();
         if (meant) {
-            control(
+            toController(
                     new CellEvent.Offered(
                             from,
                             offer.request(),
@@ -377,49 +377,49 @@
         }
     }
 
-    private void leading(String from, CellMessage.Leading leading) {
-        if (isLater(leading.fence())) {
+    private void heartbeatReceived(String from, CellMessage.Heartbeat leading) {
+        if (isLaterTerm(leading.fence())) {
             deposed(leading.fence());
         }
-        if (leading.fence() >= mDesk.fence()) {
-            mPace.stated(leading.periodMs());
+        if (leading.fence() >= mPendingJobs.fence()) {
+            mTiming.periodAnnounced(leading.periodMs());
         }
-        desk(new EntryEvent.ControllerHeard(from, leading.fence()));
-        if (mController.fence().isEmpty() && leading.fence() == mDesk.fence()) {
+        toPending(new EntryEvent.ControllerHeard(from, leading.fence()));
+        if (mController.fence().isEmpty() && leading.fence() == mPendingJobs.fence()) {
             mSearch.controllerHeard(from, mActions);
         }
-        mActions.add(new MemberAction.Send(from, following(leading.sent())));
+        mActions.add(new MemberAction.Send(from, heartbeatReply(leading.sent())));
     }
 
-    private CellMessage.Following following(ClockReading heartbeat) {
+    private CellMessage.HeartbeatReply heartbeatReply(ClockReading heartbeat) {
         boolean cutOff = mMembership.storeSilent(mClock);
         if (cutOff) {
-            mMembership.vouched(mClock);
+            mMembership.endorsedController(mClock);
         }
-        boolean steady = mMembership.steady(mClock);
-        long fence = mDesk.fence();
-        return new CellMessage.Following(
+        boolean steady = mMembership.sawNoOutage(mClock);
+        long fence = mPendingJobs.fence();
+        return new CellMessage.HeartbeatReply(
                 fence,
                 heartbeat,
                 cutOff,
                 steady,
-                mBefore.ownFence(),
-                mBefore.ownEndedAgoMs(mClock.monotonicMs()),
+                mPredecessors.lastOwnFence(),
+                mPredecessors.lastOwnTermEndedAgoMs(mClock.monotonicMs()),
                 mTargets.version(fence));
     }
 
-    private void following(String from, CellMessage.Following following) {
-        mFollowers.met(from, mClock.monotonicMs());
+    private void heartbeatReplyReceived(String from, CellMessage.HeartbeatReply following) {
+        mFollowers.addPeer(from, mClock.monotonicMs());
         Optional<Long> own = mController.fence();
-        if (isLater(following.fence())) {
+        if (isLaterTerm(following.fence())) {
             deposed(following.fence());
         } else if (own.filter(fence -> fence > following.fence()).isPresent()) {
-            mActions.add(new MemberAction.Send(from, leading(own.get())));
+            mActions.add(new MemberAction.Send(from, heartbeat(own.get())));
         } else if (mController.fence().filter(f -> f == following.fence()).isPresent()) {
-            mFollowers.answered(from, following.cutOff(), following.heartbeat());
-            bringUpToDate(from, following);
-            mBefore.answered(from, following);
-            settle();
+            mFollowers.answered(from, following.storeSilent(), following.heartbeat());
+            sendMissedTargets(from, following);
+            mPredecessors.answered(from, following);
+            checkPredecessors();
         }
     }
 
@@ -428,41 +428,41 @@
      * message was lost. Should it control the cell next, it could not tell where tasks may be at
      * work, and would start none before all leases are over; callers would wait for a second.
      */
-    private void bringUpToDate(String peer, CellMessage.Following following) {
-        mTargets.newerThan(following.fence(), following.targetsVersion())
+    private void sendMissedTargets(String peer, CellMessage.HeartbeatReply following) {
+        mTargets.ifNewerThan(following.fence(), following.targetsVersion())
                 .ifPresent(told -> mActions.add(new MemberAction.Send(peer, told)));
     }
 
-    private boolean isLater(long fence) {
+    private boolean isLaterTerm(long fence) {
         return mController.fence().filter(own -> own < fence).isPresent();
     }
 
     private void deposed(long fence) {
         log(Decision.self("deposed", "later_fence=" + fence, "gives the cell up"));
         mMembership.deposed();
-        followMembership();
+        updateTerm();
     }
 
     // The two halves
 
-    private void control(CellEvent event) {
+    private void toController(CellEvent event) {
         List<CellAction> actions = new ArrayList<>();
-        mController.exclusiveUntil(mMembership.actsUntilMs(mClock));
+        mController.exclusiveUntil(mMembership.exclusiveUntilMs(mClock));
         mController.on(event, mClock, actions);
         actions.forEach(this::run);
     }
 
     private void run(CellAction action) {
         if (action instanceof CellAction.Answer answer) {
-            tell(
+            deliver(
                     answer.entryVm(),
                     new CellMessage.Decided(answer.job(), answer.number(), answer.verdict()));
         } else if (action instanceof CellAction.BroadcastTargets told) {
-            tellTargets(told.targets());
+            broadcastTargets(told.targets());
         } else if (action instanceof CellAction.BroadcastCrash crash) {
-            sendToAll(new CellMessage.Crashed(crash.task(), crash.target(), crash.evidence()));
+            broadcast(new CellMessage.Crashed(crash.task(), crash.target(), crash.evidence()));
         } else if (action instanceof CellAction.Deposed) {
-            deposed(mDesk.fence());
+            deposed(mPendingJobs.fence());
         } else if (action instanceof CellAction.Log log) {
             log(log.decision());
         } else {
@@ -470,15 +470,15 @@
         }
     }
 
-    private void desk(EntryEvent event) {
+    private void toPending(EntryEvent event) {
         List<EntryAction> actions = new ArrayList<>();
-        mDesk.on(event, mClock, actions);
+        mPendingJobs.on(event, mClock, actions);
         actions.forEach(this::run);
     }
 
     private void run(EntryAction action) {
         if (action instanceof EntryAction.Send tell) {
-            tell(tell.address(), tell.message());
+            deliver(tell.address(), tell.message());
         } else if (action instanceof EntryAction.Reply reply) {
             mActions.add(new MemberAction.Reply(reply));
         } else if (action instanceof EntryAction.Log log) {
@@ -486,9 +486,9 @@
         }
     }
 
-    private void tell(String address, CellMessage message) {
+    private void deliver(String address, CellMessage message) {
         if (address.equals(mSelf)) {
-            mToSelf.add(new MemberEvent.Received(mSelf, message));
+            mLocalEvents.add(new MemberEvent.Received(mSelf, message));
         } else {
             mActions.add(new MemberAction.Send(address, message));
         }
--- a/core/src/main/java/org/boragegap/core/cell/CellMessage.java
+++ b/core/src/main/java/org/boragegap/core/cell/CellMessage.java
@@ -43,7 +43,7 @@
      * @param sent the controller's clock; an answer repeats it
      * @param periodMs time until the next heartbeat, in ms
      */
-    record Leading(long fence, ClockReading sent, long periodMs) implements CellMessage {}
+    record Heartbeat(long fence, ClockReading sent, long periodMs) implements CellMessage {}
 
     /**
      * Controller to all: it has given the cell up, as planned or since its membership is over.
@@ -59,7 +59,7 @@
      * @param fence highest fencing token that the sender has seen
      * @param strength how much processor the sender has for the cell, in thousandths of a core
      */
-    record Missing(long fence, int strength) implements CellMessage {}
+    record ControllerMissing(long fence, int strength) implements CellMessage {}
 
     /**
      * Controller to all, on each change: the targets on which it may have started something. The
@@ -71,7 +71,7 @@
      */
     record Targets(long fence, long version, List<TargetInfo> targets) implements CellMessage {
         /** True when a list of another version or term says more than this one. */
-        boolean olderThan(Targets other) {
+        boolean isOlderThan(Targets other) {
             return fence < other.fence || fence == other.fence && version < other.version;
         }
     }
@@ -86,22 +86,22 @@
     record Crashed(TaskName task, String target, CrashEvidence evidence) implements CellMessage {}
 
     /**
-     * Answer to {@link Leading}.
+     * Answer to {@link Heartbeat}.
      *
      * @param fence highest fencing token that the sender has seen
      * @param heartbeat the clock that the heartbeat told
-     * @param cutOff true when the store hasn't answered the sender for half a lease
-     * @param steady true when the store has answered the sender all the time lately
-     * @param ownFence fencing token of the sender's own last term; 0 if it had none
+     * @param storeSilent true when the store hasn't answered the sender for half a lease
+     * @param sawNoOutage true when the store has answered the sender all the time lately
+     * @param lastOwnFence fencing token of the sender's own last term; 0 if it had none
      * @param endedAgoMs how long ago that term ended, in ms
      * @param targetsVersion version of the term's list of targets that the sender has; 0 for none
      */
-    record Following(
+    record HeartbeatReply(
             long fence,
             ClockReading heartbeat,
-            boolean cutOff,
-            boolean steady,
-            long ownFence,
+            boolean storeSilent,
+            boolean sawNoOutage,
+            long lastOwnFence,
             long endedAgoMs,
             long targetsVersion)
             implements CellMessage {}
--- a/core/src/main/java/org/boragegap/core/cell/CellState.java
+++ b/core/src/main/java/org/boragegap/core/cell/CellState.java
@@ -5,11 +5,11 @@
  *
  * @param fence fencing token of the term; 0 when this VM controls nothing
  * @param targets targets known
- * @param open targets that may be given work
+ * @param schedulable targets that may be given work
  * @param jobs jobs taken on and not ended
  * @param runs runs ordered and not known to have ended
  */
-public record CellState(long fence, int targets, int open, int jobs, int runs) {
+public record CellState(long fence, int targets, int schedulable, int jobs, int runs) {
     /** Of a VM that controls nothing. */
     public static final CellState NONE = new CellState(0, 0, 0, 0, 0);
 
@@ -18,7 +18,7 @@
         return new CellState(
                 Math.max(fence, other.fence),
                 targets + other.targets,
-                open + other.open,
+                schedulable + other.schedulable,
                 jobs + other.jobs,
                 runs + other.runs);
     }
--- a/core/src/main/java/org/boragegap/core/cell/ControllerSearch.java
+++ b/core/src/main/java/org/boragegap/core/cell/ControllerSearch.java
@@ -10,14 +10,14 @@
      * How long the others have to answer a VM that has just got to know them, in ms: the controller
      * answers within some hops that it is well.
      */
-    private static final long ANSWER_MS = 150;
+    private static final long ANSWER_WAIT_MS = 150;
 
     private final String mSelf;
     private final Candidacy mCandidacy;
     private final Membership mMembership;
-    private final PendingJobs mDesk;
+    private final PendingJobs mPendingJobs;
     private final Followers mFollowers;
-    private final HeartbeatPace mPace;
+    private final HeartbeatTiming mTiming;
     private int mStrength;
 
     ControllerSearch(
@@ -26,12 +26,12 @@
             Membership membership,
             PendingJobs desk,
             Followers followers,
-            HeartbeatPace pace) {
+            HeartbeatTiming pace) {
         mSelf = self;
-        mPace = pace;
+        mTiming = pace;
         mCandidacy = new Candidacy(cell, pace);
         mMembership = membership;
-        mDesk = desk;
+        mPendingJobs = desk;
         mFollowers = followers;
     }
 
@@ -41,13 +41,13 @@
     }
 
     /** Whether this VM asks the group for the cell. */
-    boolean asks() {
-        return mCandidacy.asks();
+    boolean isCandidate() {
+        return mCandidacy.isCandidate();
     }
 
     /** Another VM says that it misses the controller. */
-    void missedBy(String peer, int strength, ClockReading clock) {
-        mCandidacy.missedBy(peer, strength, clock.monotonicMs());
+    void recordMissingNotice(String peer, int strength, ClockReading clock) {
+        mCandidacy.recordMissingNotice(peer, strength, clock.monotonicMs());
     }
 
     /**
@@ -56,12 +56,12 @@
      * asks no longer.
      */
     void controllerHeard(String controller, List<MemberAction> actions) {
-        if (!mCandidacy.asks()) {
+        if (!mCandidacy.isCandidate()) {
             return;
         }
-        mCandidacy.withdraw();
+        mCandidacy.end();
         log("controller=" + controller, "asks no more", actions);
-        actions.add(new MemberAction.JoinAgain());
+        actions.add(new MemberAction.Rejoin());
     }
 
     /**
@@ -74,30 +74,31 @@
      * @param able whether it knows all that a controller has to know
      * @return true when the members of the group should be read
      */
-    boolean look(boolean controls, boolean able, ClockReading clock, List<MemberAction> actions) {
+    boolean update(boolean controls, boolean able, ClockReading clock, List<MemberAction> actions) {
         if (controls || mMembership.resigned()) {
-            mCandidacy.withdraw();
+            mCandidacy.end();
             return false;
         }
         long nowMs = clock.monotonicMs();
-        long silentMs = mMembership.silentMs(mDesk.lastHeardMs(), mPace.silentMs(), clock);
-        boolean cutOff = mMembership.cutOff(clock);
-        boolean tells = mCandidacy.tells(silentMs, nowMs);
+        long silentMs =
+                mMembership.silentMs(mPendingJobs.lastHeardMs(), mTiming.lostAfterMs(), clock);
+        boolean cutOff = mMembership.leaseExpired(clock);
+        boolean tells = mCandidacy.shouldSendNotice(silentMs, nowMs);
         if (tells) {
-            tellAll(actions);
+            sendNotices(actions);
         }
-        boolean asked = mCandidacy.asks();
-        if (cutOff || !able || !knowsOthers(nowMs) || mMembership.justCame(clock)) {
-            mCandidacy.withdraw();
+        boolean asked = mCandidacy.isCandidate();
+        if (cutOff || !able || !knowsPeers(nowMs) || mMembership.recentlyJoined(clock)) {
+            mCandidacy.end();
         } else {
-            mCandidacy.turn(silentMs, mSelf, mStrength, mFollowers.peers(), nowMs);
+            mCandidacy.update(silentMs, mSelf, mStrength, mFollowers.peers(), nowMs);
         }
-        if (mCandidacy.asks() != asked) {
+        if (mCandidacy.isCandidate() != asked) {
             String outcome = asked ? "asks no more" : "asks for the cell";
             log("silent_ms=" + silentMs + " strength=" + mStrength, outcome, actions);
         }
-        if (mCandidacy.joins(nowMs)) {
-            actions.add(new MemberAction.JoinAgain());
+        if (mCandidacy.shouldJoin(nowMs)) {
+            actions.add(new MemberAction.Rejoin());
         }
         return tells && !cutOff;
     }
@@ -108,14 +109,15 @@
      * itself, asked for each cell, was dealt it, and deposed a controller in good health. It showed
      * while the store was slow, since who is in the group is read from there.
      */
-    private boolean knowsOthers(long nowMs) {
+    private boolean knowsPeers(long nowMs) {
         OptionalLong forMs = mFollowers.knownForMs(nowMs);
-        return forMs.isPresent() && forMs.getAsLong() >= ANSWER_MS;
+        return forMs.isPresent() && forMs.getAsLong() >= ANSWER_WAIT_MS;
     }
 
-    private void tellAll(List<MemberAction> actions) {
-        CellMessage.Missing missing = new CellMessage.Missing(mDesk.fence(), mStrength);
-        for (String peer : mCandidacy.toTell(mFollowers.peers())) {
+    private void sendNotices(List<MemberAction> actions) {
+        CellMessage.ControllerMissing missing =
+                new CellMessage.ControllerMissing(mPendingJobs.fence(), mStrength);
+        for (String peer : mCandidacy.noticeRecipients(mFollowers.peers())) {
             actions.add(new MemberAction.Send(peer, missing));
         }
     }
--- a/core/src/main/java/org/boragegap/core/cell/CrashDetector.java
+++ b/core/src/main/java/org/boragegap/core/cell/CrashDetector.java
@@ -70,7 +70,7 @@
         for (LostRun run : runs) {
             TaskName task = run.task();
             mHistory.recordCrash(task, run.target(), run.evidence(), mTerm.nowMs());
-            mTerm.act(new CellAction.BroadcastCrash(task, run.target(), run.evidence()));
+            mTerm.emit(new CellAction.BroadcastCrash(task, run.target(), run.evidence()));
             logCrash(run, runs.size() - 1, found, verdictOn(task).isPresent());
             crashReported(task);
         }
--- a/core/src/main/java/org/boragegap/core/cell/Followers.java
+++ b/core/src/main/java/org/boragegap/core/cell/Followers.java
@@ -26,10 +26,10 @@
      * restarts: by the list alone its side were most of all, and it went on beside the controller
      * that the store has dealt the cell to meanwhile.
      */
-    private static final long COUNTS_AFTER_MS = 10_000;
+    private static final long DELISTED_COUNTS_MS = 10_000;
 
-    private final Map<String, ClockReading> mVouched = new HashMap<>();
-    private final Map<String, Long> mListedMs = new HashMap<>();
+    private final Map<String, ClockReading> mEndorsements = new HashMap<>();
+    private final Map<String, Long> mLastListedMs = new HashMap<>();
     private Set<String> mPeers = Set.of();
     private OptionalLong mFirstListedMs = OptionalLong.empty();
 
@@ -46,27 +46,27 @@
     }
 
     /** The group's members were read. */
-    void listed(Set<String> peers, long nowMs) {
+    void updatePeers(Set<String> peers, long nowMs) {
         if (mFirstListedMs.isEmpty()) {
             mFirstListedMs = OptionalLong.of(nowMs);
         }
         mPeers = peers;
-        peers.forEach(peer -> mListedMs.put(peer, nowMs));
-        mListedMs.values().removeIf(ms -> nowMs - ms > COUNTS_AFTER_MS);
-        mVouched.keySet().retainAll(peers);
+        peers.forEach(peer -> mLastListedMs.put(peer, nowMs));
+        mLastListedMs.values().removeIf(ms -> nowMs - ms > DELISTED_COUNTS_MS);
+        mEndorsements.keySet().retainAll(peers);
     }
 
     /**
      * Takes a VM that the list of members doesn't name yet for one: it would hear no heartbeat
      * until the list is read again, and ask for the cell meanwhile.
      */
-    void met(String peer, long nowMs) {
+    void addPeer(String peer, long nowMs) {
         if (!mPeers.contains(peer)) {
             Set<String> peers = new HashSet<>(mPeers);
             peers.add(peer);
             mPeers = Set.copyOf(peers);
         }
-        mListedMs.put(peer, nowMs);
+        mLastListedMs.put(peer, nowMs);
     }
 
     /**
@@ -77,7 +77,7 @@
      */
     void answered(String peer, boolean cutOff, ClockReading heartbeat) {
         if (cutOff) {
-            mVouched.merge(peer, heartbeat, Followers::later);
+            mEndorsements.merge(peer, heartbeat, Followers::later);
         }
     }
 
@@ -91,14 +91,14 @@
      *
      * @param now the clock; a VM that is alone vouches for itself
      */
-    Optional<ClockReading> vouched(ClockReading now) {
-        Set<String> all = new HashSet<>(mListedMs.keySet());
+    Optional<ClockReading> endorsed(ClockReading now) {
+        Set<String> all = new HashSet<>(mLastListedMs.keySet());
         all.addAll(mPeers);
         int needed = (all.size() + 1) / 2;
         if (needed == 0) {
             return Optional.of(now);
         }
-        List<ClockReading> answers = new ArrayList<>(mVouched.values());
+        List<ClockReading> answers = new ArrayList<>(mEndorsements.values());
         if (answers.size() < needed) {
             return Optional.empty();
         }
--- a/core/src/main/java/org/boragegap/core/cell/JobLifecycle.java
+++ b/core/src/main/java/org/boragegap/core/cell/JobLifecycle.java
@@ -201,7 +201,7 @@
     }
 
     private void answer(String entry, String job, long number, Verdict verdict) {
-        mTerm.act(new CellAction.Answer(entry, job, number, verdict));
+        mTerm.emit(new CellAction.Answer(entry, job, number, verdict));
     }
 
     void withdrawn(CellEvent.Withdrawn event) {
@@ -240,7 +240,7 @@
         mTerm.jobs().remove(job.id());
         mTerm.waiting().remove(job);
         if (job.mayHaveStarted()) {
-            mTerm.noteStarted(job.id());
+            mTerm.recordStarted(job.id());
         }
     }
 
--- a/core/src/main/java/org/boragegap/core/cell/KnownTargets.java
+++ b/core/src/main/java/org/boragegap/core/cell/LatestTargetList.java
@@ -4,26 +4,26 @@
 import java.util.Optional;
 
 /** The newest list of targets that this VM has been told, or has told the others itself. */
-final class KnownTargets {
-    private Optional<CellMessage.Targets> mNewest = Optional.empty();
+final class LatestTargetList {
+    private Optional<CellMessage.Targets> mLatest = Optional.empty();
 
     /** Takes a list that was told; an older one doesn't replace a newer one. */
-    void told(CellMessage.Targets targets) {
-        if (mNewest.isEmpty() || mNewest.get().olderThan(targets)) {
-            mNewest = Optional.of(targets);
+    void received(CellMessage.Targets targets) {
+        if (mLatest.isEmpty() || mLatest.get().isOlderThan(targets)) {
+            mLatest = Optional.of(targets);
         }
     }
 
     /** The next list of a term that this VM controls. */
-    CellMessage.Targets next(long fence, List<TargetInfo> targets) {
+    CellMessage.Targets createNext(long fence, List<TargetInfo> targets) {
         CellMessage.Targets message = new CellMessage.Targets(fence, version(fence) + 1, targets);
-        mNewest = Optional.of(message);
+        mLatest = Optional.of(message);
         return message;
     }
 
     /** The list of a term. */
     Optional<CellMessage.Targets> ofTerm(long fence) {
-        return mNewest.filter(told -> told.fence() == fence);
+        return mLatest.filter(told -> told.fence() == fence);
     }
 
     /** Version of the list of a term; 0 for none. */
@@ -32,7 +32,7 @@
     }
 
     /** The list of a term, for a VM that has an earlier version of it. */
-    Optional<CellMessage.Targets> newerThan(long fence, long version) {
+    Optional<CellMessage.Targets> ifNewerThan(long fence, long version) {
         return ofTerm(fence).filter(told -> told.version() > version);
     }
 }
--- a/core/src/main/java/org/boragegap/core/cell/LeaseManager.java
+++ b/core/src/main/java/org/boragegap/core/cell/LeaseManager.java
@@ -131,7 +131,7 @@
         mTerm.targets().values().forEach(target -> infos.add(target.info()));
         if (!infos.equals(mAnnounced)) {
             mAnnounced = infos;
-            mTerm.act(new CellAction.BroadcastTargets(infos));
+            mTerm.emit(new CellAction.BroadcastTargets(infos));
         }
     }
 
@@ -170,10 +170,10 @@
             return 0;
         }
         if (!target.busy()) {
-            boolean doubtful = mTerm.losesAnswers() || target.calls().lastOrderFailed();
+            boolean doubtful = mTerm.hasRecentLosses() || target.calls().lastOrderFailed();
             return doubtful ? LONG_POLL_MS : IDLE_LONG_POLL_MS;
         }
-        if (!mTerm.losesAnswers() || target.runs().isEmpty()) {
+        if (!mTerm.hasRecentLosses() || target.runs().isEmpty()) {
             return LONG_POLL_MS;
         }
         long endMs = mRuns.expectedNextEndMs(target);
@@ -190,10 +190,11 @@
         long call = mCallNumbers.getAsLong();
         long untilMs = 0;
         if (target.reported() && !target.calls().unresponsive()) {
-            untilMs = target.leaseEndOnTargetClock(mTerm.nowMs(), LEASE_MS, mTerm.actsUntilMs());
+            untilMs =
+                    target.leaseEndOnTargetClock(mTerm.nowMs(), LEASE_MS, mTerm.exclusiveUntilMs());
             target.leaseSent(untilMs);
         }
-        mTerm.act(
+        mTerm.emit(
                 new CellAction.ExtendLease(
                         target.info(),
                         call,
@@ -242,7 +243,7 @@
     /** The target has answered an order. */
     void targetAnswered(Target target) {
         if (target.calls().answered(mTerm.nowMs())) {
-            mTerm.answerLost();
+            mTerm.recordLostAnswer();
         }
     }
 
@@ -268,7 +269,7 @@
             target.calls().notSent();
         }
         if (event.cause() == OrderResult.FENCED) {
-            mTerm.act(new CellAction.Deposed());
+            mTerm.emit(new CellAction.Deposed());
         } else if (event.cause() == OrderResult.OTHER_INCARNATION) {
             targetReplaced(target);
         }
--- a/core/src/main/java/org/boragegap/core/cell/MemberAction.java
+++ b/core/src/main/java/org/boragegap/core/cell/MemberAction.java
@@ -28,15 +28,15 @@
     /**
      * Begin or end to follow the platform's list of targets.
      *
-     * @param follow true to begin
+     * @param watch true to begin
      */
-    record FollowTargets(boolean follow) implements MemberAction {}
+    record WatchTargets(boolean watch) implements MemberAction {}
 
     /** Read at once who is in the group. */
     record ReadMembers() implements MemberAction {}
 
     /** Join the group again at once, so that the store can go on dealing. */
-    record JoinAgain() implements MemberAction {}
+    record Rejoin() implements MemberAction {}
 
     /**
      * One line for the log.
--- a/core/src/main/java/org/boragegap/core/cell/MemberEvent.java
+++ b/core/src/main/java/org/boragegap/core/cell/MemberEvent.java
@@ -43,13 +43,13 @@
      *
      * @param event the event
      */
-    record ForDesk(EntryEvent event) implements MemberEvent {}
+    record ForPendingJobs(EntryEvent event) implements MemberEvent {}
 
     /** This VM is about to stop, as planned: it gives the cell up and serves its callers on. */
     record Resigned() implements MemberEvent {}
 
     /** This VM takes no more callers. */
-    record Closed() implements MemberEvent {}
+    record Draining() implements MemberEvent {}
 
     /** Time has passed. */
     record Ticked() implements MemberEvent {}
--- a/core/src/main/java/org/boragegap/core/cell/Membership.java
+++ b/core/src/main/java/org/boragegap/core/cell/Membership.java
@@ -16,7 +16,7 @@
     private static final long TERMS_PER_GENERATION = 1_000;
 
     /** Difference between two clocks that counts as a pause, in ms; scheduling delays are less. */
-    private static final long PAUSE_MS = 200;
+    private static final long PAUSE_THRESHOLD_MS = 200;
 
     /**
      * How long a VM listens for a controller before it asks for the cell, in ms: some hops, on
@@ -27,7 +27,7 @@
     private static final long LISTEN_MS = 250;
 
     /** Allows for clocks that run at slightly different rates, and for scheduling, in ms. */
-    private static final long STEADY_MARGIN_MS = 50;
+    private static final long OUTAGE_MARGIN_MS = 50;
 
     private final long mLeaseMs;
     private long mGeneration;
@@ -35,23 +35,23 @@
     private long mFence;
 
     /** When the last join was sent that the store has answered, whoever holds the cell. */
-    private ClockReading mRenewed;
+    private ClockReading mLastRenewal;
 
     /** The same of the last join whose answer named this VM as the holder. */
-    private Optional<ClockReading> mHeld = Optional.empty();
+    private Optional<ClockReading> mLastHeldRenewal = Optional.empty();
 
     /** The last heartbeat for which most VMs have vouched; its lease runs out by itself. */
-    private Optional<ClockReading> mVouched = Optional.empty();
+    private Optional<ClockReading> mQuorumHeartbeat = Optional.empty();
 
-    private long mCameMs = -1;
-    private long mUnsteadyMs;
+    private long mJoinedMs = -1;
+    private long mLastOutageMs;
     private boolean mResigned;
-    private boolean mDealtAway;
+    private boolean mAssignedElsewhere;
 
     private Membership(long leaseMs, ClockReading began) {
         mLeaseMs = leaseMs;
-        mRenewed = began;
-        mUnsteadyMs = began.monotonicMs();
+        mLastRenewal = began;
+        mLastOutageMs = began.monotonicMs();
     }
 
     /**
@@ -100,17 +100,17 @@
         }
         mGeneration = generation;
         // A controller may go on after half a lease without the store; see storeSilent.
-        boolean missed = sent.wallMs() - mRenewed.wallMs() > mLeaseMs / 2 || storeSilent(sent);
-        if (mCameMs >= 0 && missed) {
-            mUnsteadyMs = sent.monotonicMs();
+        boolean missed = sent.wallMs() - mLastRenewal.wallMs() > mLeaseMs / 2 || storeSilent(sent);
+        if (mJoinedMs >= 0 && missed) {
+            mLastOutageMs = sent.monotonicMs();
         }
-        if (mCameMs < 0 || cutOff(sent)) {
-            mCameMs = sent.monotonicMs();
+        if (mJoinedMs < 0 || leaseExpired(sent)) {
+            mJoinedMs = sent.monotonicMs();
         }
-        mRenewed = sent;
+        mLastRenewal = sent;
         // An answer that comes after the lease says nothing of now.
         boolean outdated = now.monotonicMs() - sent.monotonicMs() >= mLeaseMs;
-        mDealtAway = !holds;
+        mAssignedElsewhere = !holds;
         if (holds && !outdated && !mResigned) {
             hold(sent);
         }
@@ -118,15 +118,15 @@
     }
 
     private void hold(ClockReading sent) {
-        mHeld = Optional.of(sent);
+        mLastHeldRenewal = Optional.of(sent);
         if (mFence == 0) {
             mFence = mGeneration * TERMS_PER_GENERATION + mTermsOfGeneration++;
         }
     }
 
     /** Until when the word of the others lets this VM act without the store; 0 for never. */
-    private long vouchedUntilMs(ClockReading clock) {
-        return mVouched.map(vouched -> leaseEndMs(vouched, clock)).orElse(0L);
+    private long quorumLeaseEndMs(ClockReading clock) {
+        return mQuorumHeartbeat.map(vouched -> leaseEndMs(vouched, clock)).orElse(0L);
     }
 
     /** This VM leaves the group: it takes the cell no more. */
@@ -141,8 +141,8 @@
     }
 
     /** True when the group's last answer didn't name this VM as the holder. */
-    boolean dealtAway() {
-        return mDealtAway;
+    boolean assignedElsewhere() {
+        return mAssignedElsewhere;
     }
 
     /** Another VM acts with a higher fencing token. */
@@ -159,9 +159,9 @@
      */
     public void tick(ClockReading clock, Optional<ClockReading> vouched) {
         if (vouched.isPresent()) {
-            mVouched = vouched;
+            mQuorumHeartbeat = vouched;
         }
-        if (mFence != 0 && clock.monotonicMs() > actsUntilMs(clock)) {
+        if (mFence != 0 && clock.monotonicMs() > exclusiveUntilMs(clock)) {
             mFence = 0;
         }
     }
@@ -175,22 +175,22 @@
      * until the group has answered again. A wall clock that was set shows the same and costs one
      * join.
      */
-    public long actsUntilMs(ClockReading clock) {
-        long heldUntilMs = mHeld.map(held -> leaseEndMs(held, clock)).orElse(0L);
-        return Math.max(heldUntilMs, vouchedUntilMs(clock));
+    public long exclusiveUntilMs(ClockReading clock) {
+        long heldUntilMs = mLastHeldRenewal.map(held -> leaseEndMs(held, clock)).orElse(0L);
+        return Math.max(heldUntilMs, quorumLeaseEndMs(clock));
     }
 
     /** End of a lease that began at {@code since}; now, if this VM may have been paused since. */
     private long leaseEndMs(ClockReading since, ClockReading clock) {
         long passedMs = clock.monotonicMs() - since.monotonicMs();
         long passedOnWallMs = clock.wallMs() - since.wallMs();
-        boolean paused = Math.abs(passedOnWallMs - passedMs) > PAUSE_MS;
+        boolean paused = Math.abs(passedOnWallMs - passedMs) > PAUSE_THRESHOLD_MS;
         return paused ? clock.monotonicMs() : since.monotonicMs() + mLeaseMs;
     }
 
     /** This VM has told a controller to go on without the store. */
-    public void vouched(ClockReading clock) {
-        mUnsteadyMs = clock.monotonicMs();
+    public void endorsedController(ClockReading clock) {
+        mLastOutageMs = clock.monotonicMs();
     }
 
     /**
@@ -201,16 +201,16 @@
      * controller in office by saying so, and its earlier life ended before this one began: what
      * that one said is over a lease after.
      */
-    public boolean steady(ClockReading clock) {
-        return clock.monotonicMs() - mUnsteadyMs > mLeaseMs + STEADY_MARGIN_MS;
+    public boolean sawNoOutage(ClockReading clock) {
+        return clock.monotonicMs() - mLastOutageMs > mLeaseMs + OUTAGE_MARGIN_MS;
     }
 
     /**
      * True shortly after the first join, or the first after a time without the store: this VM has
      * not had the time to hear of a controller.
      */
-    public boolean justCame(ClockReading clock) {
-        return mCameMs < 0 || clock.monotonicMs() - mCameMs < LISTEN_MS;
+    public boolean recentlyJoined(ClockReading clock) {
+        return mJoinedMs < 0 || clock.monotonicMs() - mJoinedMs < LISTEN_MS;
     }
 
     /**
@@ -221,7 +221,7 @@
      * @param lostMs silence after which a controller counts as lost, in ms
      */
     long silentMs(Optional<Long> heardMs, long lostMs, ClockReading clock) {
-        long listenedMs = mCameMs + LISTEN_MS - lostMs;
+        long listenedMs = mJoinedMs + LISTEN_MS - lostMs;
         return clock.monotonicMs() - Math.max(heardMs.orElse(listenedMs), listenedMs);
     }
 
@@ -231,11 +231,11 @@
      * before its own lease is over.
      */
     public boolean storeSilent(ClockReading clock) {
-        return clock.monotonicMs() - mRenewed.monotonicMs() > mLeaseMs / 2;
+        return clock.monotonicMs() - mLastRenewal.monotonicMs() > mLeaseMs / 2;
     }
 
     /** True when no join was answered for a whole lease. */
-    public boolean cutOff(ClockReading clock) {
-        return clock.monotonicMs() - mRenewed.monotonicMs() > mLeaseMs;
+    public boolean leaseExpired(ClockReading clock) {
+        return clock.monotonicMs() - mLastRenewal.monotonicMs() > mLeaseMs;
     }
 }
--- a/core/src/main/java/org/boragegap/core/cell/PendingJobs.java
+++ b/core/src/main/java/org/boragegap/core/cell/PendingJobs.java
@@ -32,7 +32,7 @@
      */
     private static final int OFFERS_PER_MS_BITS = 20;
 
-    private final HeartbeatPace mPace;
+    private final HeartbeatTiming mPace;
     private final Map<String, PendingJob> mPending = new HashMap<>();
     private final Map<Long, String> mJobByTicket = new HashMap<>();
     private final RecentJobs<OfferHistory> mOfferHistories = new RecentJobs<>();
@@ -102,7 +102,7 @@
         }
     }
 
-    private PendingJobs(HeartbeatPace pace, ClockReading began) {
+    private PendingJobs(HeartbeatTiming pace, ClockReading began) {
         mPace = pace;
         mNextOfferNumber = (began.wallMs() << OFFERS_PER_MS_BITS) + 1;
     }
@@ -112,7 +112,7 @@
      *
      * @param began when this process began
      */
-    static PendingJobs create(HeartbeatPace pace, ClockReading began) {
+    static PendingJobs create(HeartbeatTiming pace, ClockReading began) {
         return new PendingJobs(pace, began);
     }
 
@@ -122,7 +122,7 @@
      * can't be refused as not run any more, and ends in doubt when its time is over.
      */
     public Optional<String> controller(long nowMs) {
-        boolean silent = mController.isEmpty() || nowMs - mLastHeardMs > mPace.silentMs();
+        boolean silent = mController.isEmpty() || nowMs - mLastHeardMs > mPace.lostAfterMs();
         return silent ? Optional.empty() : Optional.of(mController);
     }
 
@@ -264,7 +264,7 @@
     private void controllerLeft(long fence) {
         if (fence == mFence) {
             mController = "";
-            mLastHeardMs = mNowMs - mPace.silentMs();
+            mLastHeardMs = mNowMs - mPace.lostAfterMs();
         }
     }
 
--- a/core/src/main/java/org/boragegap/core/cell/Placement.java
+++ b/core/src/main/java/org/boragegap/core/cell/Placement.java
@@ -38,7 +38,7 @@
     int maxFreeCpu() {
         int largest = -1;
         for (Target target : mTerm.targets().values()) {
-            if (target.freeCpu() > largest && mTerm.takesWork(target)) {
+            if (target.freeCpu() > largest && mTerm.acceptsWork(target)) {
                 largest = target.freeCpu();
             }
         }
@@ -47,7 +47,7 @@
 
     private boolean canPlace(CellTask task, Target target) {
         StepRequest step = task.step();
-        if (!target.fits(step) || !mTerm.takesWork(target)) {
+        if (!target.fits(step) || !mTerm.acceptsWork(target)) {
             return false;
         }
         if (!isCompatible(task.job().request(), step, target.info())
@@ -91,8 +91,7 @@
             }
         }
         // A target that has just restarted is expected to be of the kind that it was.
-        return mTerm.predecessorsOfExpected().stream()
-                .anyMatch(info -> isFeasible(request, step, info));
+        return mTerm.replacedTargets().stream().anyMatch(info -> isFeasible(request, step, info));
     }
 
     private boolean isFeasible(JobRequest request, StepRequest step, TargetInfo info) {
--- a/core/src/main/java/org/boragegap/core/cell/Predecessors.java
+++ b/core/src/main/java/org/boragegap/core/cell/Predecessors.java
@@ -19,7 +19,7 @@
      * After this many ms a lease that an earlier controller gave is over: a second, on a clock that
      * is 2% slow, and as much again for what may be under way.
      */
-    private static final long LEASE_OVER_MS = 1_100;
+    private static final long LEASE_EXPIRED_AFTER_MS = 1_100;
 
     /** What is known. */
     enum Knowledge {
@@ -39,14 +39,14 @@
         OVER;
 
         /** True when nothing more has to be learnt from entry VMs. */
-        boolean enough() {
+        boolean isSufficient() {
             return this == TARGETS_KNOWN || this == OVER;
         }
     }
 
-    private final Map<String, CellMessage.Following> mAnswered = new HashMap<>();
+    private final Map<String, CellMessage.HeartbeatReply> mAnswered = new HashMap<>();
     private long mInheritedFence;
-    private long mBeganMs;
+    private long mTermBeganMs;
 
     /** Who was in the group when its members were first read in this term; empty before. */
     private Optional<Set<String>> mFirstMembers = Optional.empty();
@@ -54,9 +54,9 @@
     private Knowledge mKnown = Knowledge.AWAITS_ANSWERS;
 
     /** Fencing token of this VM's own last term, and when that ended. */
-    private long mOwnFence;
+    private long mLastOwnFence;
 
-    private long mOwnTermEndedMs;
+    private long mLastOwnTermEndedMs;
 
     /**
      * A term begins.
@@ -64,7 +64,7 @@
      * @param inheritedFence token of the term whose targets this one has taken over; 0 for none
      */
     void termBegan(long inheritedFence, long nowMs) {
-        mBeganMs = nowMs;
+        mTermBeganMs = nowMs;
         mAnswered.clear();
         mFirstMembers = Optional.empty();
         mKnown = Knowledge.AWAITS_ANSWERS;
@@ -73,21 +73,21 @@
 
     /** This VM's own term has ended. */
     void ownTermEnded(long fence, long nowMs) {
-        mOwnFence = fence;
-        mOwnTermEndedMs = nowMs;
+        mLastOwnFence = fence;
+        mLastOwnTermEndedMs = nowMs;
     }
 
-    long ownFence() {
-        return mOwnFence;
+    long lastOwnFence() {
+        return mLastOwnFence;
     }
 
-    long ownEndedAgoMs(long nowMs) {
-        return nowMs - mOwnTermEndedMs;
+    long lastOwnTermEndedAgoMs(long nowMs) {
+        return nowMs - mLastOwnTermEndedMs;
     }
 
     /** True when no lease of this VM's own last term can still last. */
-    boolean ownOver(long nowMs) {
-        return over(mOwnFence, ownEndedAgoMs(nowMs));
+    boolean ownLeasesExpired(long nowMs) {
+        return leasesExpired(mLastOwnFence, lastOwnTermEndedAgoMs(nowMs));
     }
 
     /**
@@ -99,12 +99,12 @@
      * @param askedMs when the store was asked, on the monotonic clock, in ms
      */
     void membersListed(Set<String> peers, long askedMs) {
-        if (mFirstMembers.isEmpty() && askedMs >= mBeganMs) {
+        if (mFirstMembers.isEmpty() && askedMs >= mTermBeganMs) {
             mFirstMembers = Optional.of(Set.copyOf(peers));
         }
     }
 
-    void answered(String peer, CellMessage.Following answer) {
+    void answered(String peer, CellMessage.HeartbeatReply answer) {
         mAnswered.put(peer, answer);
     }
 
@@ -120,10 +120,10 @@
      * @param steady whether this VM was in touch with the store all the time lately
      * @return true when something else is known than before
      */
-    boolean learn(Set<String> peers, boolean steady, long nowMs) {
+    boolean update(Set<String> peers, boolean steady, long nowMs) {
         Knowledge before = mKnown;
-        if (!before.enough()) {
-            mKnown = knowledge(peers, steady, nowMs);
+        if (!before.isSufficient()) {
+            mKnown = assess(peers, steady, nowMs);
         }
         return mKnown != before;
     }
@@ -134,7 +134,7 @@
      * @param peers the other entry VMs in the group
      * @param steady whether this VM was in touch with the store all the time lately
      */
-    Knowledge knowledge(Set<String> peers, boolean steady, long nowMs) {
+    Knowledge assess(Set<String> peers, boolean steady, long nowMs) {
         if (mFirstMembers.isEmpty()) {
             return Knowledge.AWAITS_ANSWERS;
         }
@@ -145,16 +145,16 @@
         }
         asked.addAll(mAnswered.keySet());
         asked.retainAll(peers);
-        if (!mostSteady(asked, steady)) {
+        if (!majoritySawNoOutage(asked, steady)) {
             return Knowledge.STORE_WAS_AWAY;
         }
-        boolean over = ownOver(nowMs);
-        boolean known = over || mOwnFence == mInheritedFence;
+        boolean over = ownLeasesExpired(nowMs);
+        boolean known = over || mLastOwnFence == mInheritedFence;
         for (String peer : asked) {
-            CellMessage.Following answer = mAnswered.get(peer);
-            boolean peerOver = over(answer.ownFence(), answer.endedAgoMs());
+            CellMessage.HeartbeatReply answer = mAnswered.get(peer);
+            boolean peerOver = leasesExpired(answer.lastOwnFence(), answer.endedAgoMs());
             over &= peerOver;
-            known &= peerOver || answer.ownFence() == mInheritedFence;
+            known &= peerOver || answer.lastOwnFence() == mInheritedFence;
         }
         if (over) {
             return Knowledge.OVER;
@@ -162,15 +162,15 @@
         return known ? Knowledge.TARGETS_KNOWN : Knowledge.TARGETS_UNKNOWN;
     }
 
-    private boolean mostSteady(Set<String> peers, boolean self) {
+    private boolean majoritySawNoOutage(Set<String> peers, boolean self) {
         int steady = self ? 1 : 0;
         for (String peer : peers) {
-            steady += mAnswered.get(peer).steady() ? 1 : 0;
+            steady += mAnswered.get(peer).sawNoOutage() ? 1 : 0;
         }
         return 2 * steady > peers.size() + 1;
     }
 
-    private static boolean over(long fence, long endedAgoMs) {
-        return fence == 0 || endedAgoMs > LEASE_OVER_MS;
+    private static boolean leasesExpired(long fence, long endedAgoMs) {
+        return fence == 0 || endedAgoMs > LEASE_EXPIRED_AFTER_MS;
     }
 }
--- a/core/src/main/java/org/boragegap/core/cell/RoundTrips.java
+++ b/core/src/main/java/org/boragegap/core/cell/RoundTripEstimator.java
@@ -7,24 +7,24 @@
  * that come after the timeout count too, so a target, or a VM, that has become slow raises its own
  * timeout and is not taken for a network that loses answers.
  */
-final class RoundTrips {
+final class RoundTripEstimator {
     /**
      * Least timeout, in ms. A round trip takes 1 to 3 ms; a pause of the garbage collector or a
      * turn of the control thread adds up to some ten.
      */
-    static final long LEAST_MS = 25;
+    static final long MIN_TIMEOUT_MS = 25;
 
     /** Timeout before the first answer, in ms: the connection may have to be opened. */
-    private static final long FIRST_MS = 100;
+    private static final long INITIAL_TIMEOUT_MS = 100;
 
     /** Longest timeout, in ms; the call itself is given up then, its connection closed. */
-    private static final long MOST_MS = 250;
+    private static final long MAX_TIMEOUT_MS = 250;
 
     /** Weight of a new sample in the smoothed round trip, and in its deviation; RFC 6298. */
     private static final double MEAN_WEIGHT = 0.125;
 
     private static final double DEVIATION_WEIGHT = 0.25;
-    private static final double DEVIATIONS = 4;
+    private static final double DEVIATION_FACTOR = 4;
 
     private double mMeanMs = -1;
     private double mDeviationMs;
@@ -43,9 +43,9 @@
     /** After this time without an answer, in ms, the answer is probably lost. */
     long timeoutMs() {
         if (mMeanMs < 0) {
-            return FIRST_MS;
+            return INITIAL_TIMEOUT_MS;
         }
-        long timeoutMs = Math.round(mMeanMs + DEVIATIONS * mDeviationMs);
-        return Math.max(LEAST_MS, Math.min(MOST_MS, timeoutMs));
+        long timeoutMs = Math.round(mMeanMs + DEVIATION_FACTOR * mDeviationMs);
+        return Math.max(MIN_TIMEOUT_MS, Math.min(MAX_TIMEOUT_MS, timeoutMs));
     }
 }
--- a/core/src/main/java/org/boragegap/core/cell/RunTracker.java
+++ b/core/src/main/java/org/boragegap/core/cell/RunTracker.java
@@ -66,8 +66,8 @@
         task.assignRun(run);
         target.add(run);
         task.job().markMayHaveStarted();
-        mTerm.noteStarted(task.job().id());
-        mTerm.act(startOrder(run, target));
+        mTerm.recordStarted(task.job().id());
+        mTerm.emit(startOrder(run, target));
         return run;
     }
 
@@ -93,7 +93,7 @@
     private CellAction.StartRun startOrder(Run run, Target target) {
         long untilMs =
                 target.leaseEndOnTargetClock(
-                        mTerm.nowMs(), LeaseManager.LEASE_MS, mTerm.actsUntilMs());
+                        mTerm.nowMs(), LeaseManager.LEASE_MS, mTerm.exclusiveUntilMs());
         target.leaseSent(untilMs);
         CellTask task = run.task();
         return new CellAction.StartRun(
@@ -133,7 +133,7 @@
         switch (result) {
             case DONE -> run.confirm(mTerm.nowMs());
             case UNKNOWN -> startUnanswered(run);
-            case FENCED -> mTerm.act(new CellAction.Deposed());
+            case FENCED -> mTerm.emit(new CellAction.Deposed());
             case NOT_SENT, OLD_RUN, NOT_RUN, NO_ROOM, OTHER_INCARNATION -> startFailed(run, result);
             default -> throw new IllegalArgumentException("no such result: " + result);
         }
@@ -189,7 +189,7 @@
 
     void stop(Run run) {
         run.requestStop(mTerm.nowMs());
-        mTerm.act(
+        mTerm.emit(
                 new CellAction.StopRun(
                         run.target().info(), run.task().name(), run.number(), mTerm.fence()));
     }
@@ -251,13 +251,13 @@
     }
 
     private void running(Target target, TargetReport.ActiveRun row) {
-        mTerm.sawRuns();
+        mTerm.recordRunSeen();
         Run run = target.run(row.task(), row.run()).orElse(null);
         if (run != null) {
             run.updateProgress(row.percent(), mTerm.nowMs());
             return;
         }
-        mTerm.noteStarted(row.task().job());
+        mTerm.recordStarted(row.task().job());
         Target.ForeignRun foreign = new Target.ForeignRun(row.task(), row.run());
         target.foreignRuns().putIfAbsent(foreign, mTerm.nowMs());
         CellJob job = mTerm.jobs().get(row.task().job());
@@ -332,7 +332,7 @@
     }
 
     private void foreignEnded(TargetReport.EndedRun row) {
-        mTerm.noteStarted(row.task().job());
+        mTerm.recordStarted(row.task().job());
         if (row.cause().done()) {
             rememberDone(row.task());
         }
@@ -475,7 +475,7 @@
                         (foreign, sinceMs) -> {
                             if (mTerm.nowMs() - sinceMs > FOREIGN_GRACE_MS) {
                                 target.foreignRuns().put(foreign, mTerm.nowMs());
-                                mTerm.act(
+                                mTerm.emit(
                                         new CellAction.StopRun(
                                                 target.info(),
                                                 foreign.task(),
--- a/core/src/main/java/org/boragegap/core/cell/Attention.java
+++ b/core/src/main/java/org/boragegap/core/cell/StallTracker.java
@@ -7,17 +7,17 @@
  * unread; when it goes on its clock says that they were silent. So the time for which it was held
  * up doesn't count as their silence. Leases are not judged by this: they run by the clock alone.
  */
-final class Attention {
+final class StallTracker {
     /** A time between two ticks of up to this many times the planned one is as planned. */
-    private static final long TIMES_PLANNED = 2;
+    private static final long MAX_PLANNED_RATIO = 2;
 
     /** For how long the worst hold-up is remembered, in ms: at least this, at most twice. */
     private static final long WINDOW_MS = 3_000;
 
-    private long mTickedMs = -1;
+    private long mLastTickMs = -1;
     private long mWindowSinceMs;
-    private long mWorstMs;
-    private long mWorstBeforeMs;
+    private long mLongestMs;
+    private long mPreviousLongestMs;
 
     /**
      * Time has passed.
@@ -25,21 +25,21 @@
      * @param plannedMs time between two ticks of a VM that is idle, in ms
      * @return for how long this VM was held up since the last tick, in ms
      */
-    long ticked(long nowMs, long plannedMs) {
-        long gapMs = mTickedMs < 0 ? 0 : nowMs - mTickedMs;
-        mTickedMs = nowMs;
-        long heldUpMs = gapMs > TIMES_PLANNED * plannedMs ? gapMs - plannedMs : 0;
+    long recordTick(long nowMs, long plannedMs) {
+        long gapMs = mLastTickMs < 0 ? 0 : nowMs - mLastTickMs;
+        mLastTickMs = nowMs;
+        long heldUpMs = gapMs > MAX_PLANNED_RATIO * plannedMs ? gapMs - plannedMs : 0;
         if (nowMs - mWindowSinceMs > WINDOW_MS) {
             mWindowSinceMs = nowMs;
-            mWorstBeforeMs = mWorstMs;
-            mWorstMs = 0;
+            mPreviousLongestMs = mLongestMs;
+            mLongestMs = 0;
         }
-        mWorstMs = Math.max(mWorstMs, heldUpMs);
+        mLongestMs = Math.max(mLongestMs, heldUpMs);
         return heldUpMs;
     }
 
     /** The longest time for which it was held up lately, in ms. */
-    long worstMs() {
-        return Math.max(mWorstMs, mWorstBeforeMs);
+    long longestStallMs() {
+        return Math.max(mLongestMs, mPreviousLongestMs);
     }
 }
--- a/core/src/main/java/org/boragegap/core/cell/Target.java
+++ b/core/src/main/java/org/boragegap/core/cell/Target.java
@@ -35,7 +35,7 @@
     private long mLeaseEndMs;
     private long mAcknowledged;
     private final LeaseCalls mCalls = new LeaseCalls();
-    private final RoundTrips mRoundTrips = new RoundTrips();
+    private final RoundTripEstimator mRoundTrips = new RoundTripEstimator();
     private long mUnlistedSinceMs = -1;
     private double mSpeed = 1.0;
     private int mConsecutiveFailures;
@@ -234,7 +234,7 @@
         return mCalls;
     }
 
-    RoundTrips roundTrips() {
+    RoundTripEstimator roundTrips() {
         return mRoundTrips;
     }
 
--- a/core/src/main/java/org/boragegap/core/cell/Term.java
+++ b/core/src/main/java/org/boragegap/core/cell/Term.java
@@ -14,12 +14,12 @@
      * How long a lost answer is taken for a sign that more will be lost, in ms: with one order in
      * fifty lost, a cell of thirty targets sees several in that time.
      */
-    private static final long LOSSES_COUNT_MS = 2_000;
+    private static final long LOSS_WINDOW_MS = 2_000;
 
     /** How long the successor of a replaced target may stay out of the platform's list, in ms. */
-    private static final long SUCCESSOR_UNLISTED_MS = 2_500;
+    private static final long MAX_SUCCESSOR_UNLISTED_MS = 2_500;
 
-    private record Expected(TargetInfo predecessor, long sinceMs) {}
+    private record ExpectedSuccessor(TargetInfo replaced, long sinceMs) {}
 
     private final long mFence;
     private final long mSinceMs;
@@ -33,12 +33,12 @@
                     Comparator.comparing(CellJob::late)
                             .thenComparingLong(CellJob::latestStartMs)
                             .thenComparing(CellJob::id));
-    private final Map<String, Expected> mExpected = new HashMap<>();
+    private final Map<String, ExpectedSuccessor> mExpectedSuccessors = new HashMap<>();
     private boolean mTargetsListed;
-    private boolean mSawRuns;
+    private boolean mRunSeen;
     private long mAnswerLostMs = Long.MIN_VALUE / 2;
     private long mNowMs;
-    private long mActsUntilMs;
+    private long mExclusiveUntilMs;
     private List<CellAction> mActions;
 
     Term(
@@ -55,18 +55,18 @@
     }
 
     /** Sets the clock and the list of actions for the event that is handled now. */
-    void at(long nowMs, List<CellAction> actions) {
+    void beginEvent(long nowMs, List<CellAction> actions) {
         mNowMs = nowMs;
         mActions = actions;
     }
 
     /** Until when nobody else can control the cell. */
-    long actsUntilMs() {
-        return mActsUntilMs;
+    long exclusiveUntilMs() {
+        return mExclusiveUntilMs;
     }
 
-    void actsUntil(long untilMs) {
-        mActsUntilMs = untilMs;
+    void exclusiveUntil(long untilMs) {
+        mExclusiveUntilMs = untilMs;
     }
 
     long fence() {
@@ -81,7 +81,7 @@
         return mNowMs;
     }
 
-    void act(CellAction action) {
+    void emit(CellAction action) {
         mActions.add(action);
     }
 
@@ -105,18 +105,20 @@
 
     /** Another incarnation has answered at the target's address; the list will name it. */
     void expectSuccessor(TargetInfo gone) {
-        mExpected.put(gone.address(), new Expected(gone, mNowMs));
+        mExpectedSuccessors.put(gone.address(), new ExpectedSuccessor(gone, mNowMs));
     }
 
     /** The list names a new target. */
     void targetAppeared(TargetInfo info) {
-        mExpected.remove(info.address());
+        mExpectedSuccessors.remove(info.address());
     }
 
     /** Targets whose successors have answered and are not listed yet, so not known otherwise. */
-    List<TargetInfo> predecessorsOfExpected() {
-        mExpected.values().removeIf(place -> mNowMs - place.sinceMs() > SUCCESSOR_UNLISTED_MS);
-        return mExpected.values().stream().map(Expected::predecessor).toList();
+    List<TargetInfo> replacedTargets() {
+        mExpectedSuccessors
+                .values()
+                .removeIf(place -> mNowMs - place.sinceMs() > MAX_SUCCESSOR_UNLISTED_MS);
+        return mExpectedSuccessors.values().stream().map(ExpectedSuccessor::replaced).toList();
     }
 
     /** Which domains operators want emptied. */
@@ -125,7 +127,7 @@
     }
 
     /** True when the target can take work now, and operators don't want its domain emptied. */
-    boolean takesWork(Target target) {
+    boolean acceptsWork(Target target) {
         return target.schedulable(mNowMs) && mEvacuations.allows(target.info());
     }
 
@@ -135,7 +137,7 @@
     }
 
     /** Something of the job has started, or may have. */
-    void noteStarted(String job) {
+    void recordStarted(String job) {
         mStarted.remember(job, mFence, mNowMs);
     }
 
@@ -161,7 +163,7 @@
      * the controller all that waited comes at once, much of it late; in front, it took the targets
      * for over a second, and callers who came meanwhile were refused or late as well.
      */
-    void putLateBehind() {
+    void demoteLateJobs() {
         while (!mWaiting.isEmpty()) {
             CellJob first = mWaiting.first();
             if (first.late() || first.latestStartMs() >= mNowMs || first.hasProgress()) {
@@ -174,21 +176,21 @@
     }
 
     /** A target that answers has left an order unanswered. */
-    void answerLost() {
+    void recordLostAnswer() {
         mAnswerLostMs = mNowMs;
     }
 
     /** True when answers of targets were lost lately. */
-    boolean losesAnswers() {
-        return mNowMs - mAnswerLostMs < LOSSES_COUNT_MS;
+    boolean hasRecentLosses() {
+        return mNowMs - mAnswerLostMs < LOSS_WINDOW_MS;
     }
 
     /** A target has reported something at work in this term. */
-    void sawRuns() {
-        mSawRuns = true;
+    void recordRunSeen() {
+        mRunSeen = true;
     }
 
     boolean hasSeenRuns() {
-        return mSawRuns;
+        return mRunSeen;
     }
 }
--- a/core/src/test/java/org/boragegap/core/cell/CellHistoriesProperties.java
+++ b/core/src/test/java/org/boragegap/core/cell/CellHistoriesProperties.java
@@ -17,15 +17,15 @@
  */
 final class CellHistoriesProperties {
     /** Jobs that a history without failures would finish are about 140; few are lost on average. */
-    private static final int LEAST_FINISHED = 40;
+    private static final int MIN_FINISHED_JOBS = 40;
 
     private static final long ALL_HAVE_STARTED_MS = 1_500;
-    private static final int AVERAGED = 200;
-    private static final int MOST_TERMS = 6;
-    private static final double MOST_CHANGES_ON_SLOW_VMS = 0.1;
+    private static final int AVERAGED_SEEDS = 200;
+    private static final int MAX_TERMS = 6;
+    private static final double MAX_CHANGES_ON_SLOW_VMS = 0.1;
 
     @Property(tries = 10_000, seed = "11")
-    void promisesHold(@ForAll long seed) {
+    void guaranteesHold(@ForAll long seed) {
         assertHolds(seed, CellHistory::play);
     }
 
@@ -41,7 +41,7 @@
      * one still runs.
      */
     @Property(tries = 2_000, seed = "12")
-    void promisesHoldWhileTheStoreIsSlow(@ForAll long seed) {
+    void guaranteesHoldWhileTheStoreIsSlow(@ForAll long seed) {
         assertHolds(seed, CellHistory::playSlowStore);
     }
 
@@ -51,14 +51,14 @@
      * bound on, and no target gets more than the room that counts.
      */
     @Property(tries = 2_000, seed = "13")
-    void evacuationsAndRoomsAreHeeded(@ForAll long seed) {
-        assertHolds(seed, CellHistory::playEvacuationsAndRooms);
+    void evacuationsAndCapacitiesAreRespected(@ForAll long seed) {
+        assertHolds(seed, CellHistory::playEvacuationsAndResizes);
     }
 
     /** On a calm day an evacuation is heeded within 300 ms of the store's confirmation. */
     @Property(tries = 300, seed = "14")
-    void evacuationsAreHeededSoonOnACalmDay(@ForAll long seed) {
-        assertHolds(seed, CellHistory::playCalmEvacuations);
+    void evacuationsAreAppliedPromptlyWithoutFaults(@ForAll long seed) {
+        assertHolds(seed, CellHistory::playEvacuationsWithoutFaults);
     }
 
     /**
@@ -67,17 +67,19 @@
      * was dealt it, and deposed a controller in good health: callers waited for up to 4 s.
      */
     @Property(tries = 2_000, seed = "15")
-    void newcomersDeposeNobody(@ForAll long seed) {
-        CellHistory history = assertHolds(seed, CellHistory::playNewcomersOfASlowStore);
-        TermCount terms = history.terms();
-        assertWithMessage("seed %s", seed).that(terms.changesOfHands()).isEqualTo(0);
-        assertWithMessage("seed %s", seed).that(terms.askedSince(ALL_HAVE_STARTED_MS)).isEqualTo(0);
+    void newVmsDeposeNoController(@ForAll long seed) {
+        CellHistory history = assertHolds(seed, CellHistory::playNewVmsWithSlowStore);
+        TermStatistics terms = history.terms();
+        assertWithMessage("seed %s", seed).that(terms.controllerChanges()).isEqualTo(0);
+        assertWithMessage("seed %s", seed)
+                .that(terms.candidaciesSince(ALL_HAVE_STARTED_MS))
+                .isEqualTo(0);
     }
 
     /** Guards against a job that is shown as failed though none of its tasks has failed. */
     @Property(tries = 2_000, seed = "16")
-    void noSoundJobIsShownAsFailedWhenTargetsCrashAtOnce(@ForAll long seed) {
-        assertHolds(seed, CellHistory::playCrashWaves);
+    void noSoundJobFailsWhenTargetsCrashTogether(@ForAll long seed) {
+        assertHolds(seed, CellHistory::playMassCrashes);
     }
 
     /**
@@ -89,7 +91,7 @@
      * added later, so these seeds no longer play the very events of then.
      */
     @Example
-    void seedsThatOnceBrokeAPromiseHold() {
+    void guaranteesHoldForSeedsThatOnceFailed() {
         long[] seeds = {-17, 24933408097080L, 6945536998895L, -129646183, 277, -1144923797, 14639};
         for (long seed : seeds) {
             assertHolds(seed, CellHistory::play);
@@ -97,13 +99,13 @@
     }
 
     @Example
-    void mostJobsAreDoneAllTheSame() {
+    void mostJobsFinishDespiteFaults() {
         int finished = 0;
-        for (int seed = 1; seed <= AVERAGED; seed++) {
+        for (int seed = 1; seed <= AVERAGED_SEEDS; seed++) {
             CellHistory history = assertHolds(seed, CellHistory::play);
             finished += history.finished();
         }
-        assertThat(finished / AVERAGED).isAtLeast(LEAST_FINISHED);
+        assertThat(finished / AVERAGED_SEEDS).isAtLeast(MIN_FINISHED_JOBS);
     }
 
     /**
@@ -116,16 +118,16 @@
     void slowVmsKeepTheirController() {
         int hands = 0;
         int finished = 0;
-        for (int seed = 1; seed <= AVERAGED; seed++) {
+        for (int seed = 1; seed <= AVERAGED_SEEDS; seed++) {
             CellHistory history = assertHolds(seed, CellHistory::playSlowVms);
-            hands += history.terms().changesOfHands();
+            hands += history.terms().controllerChanges();
             finished += history.finished();
         }
         System.out.printf(
                 "slow VMs: changes of hands on average %.2f, jobs done %d%n",
-                (double) hands / AVERAGED, finished / AVERAGED);
-        assertThat((double) hands / AVERAGED).isAtMost(MOST_CHANGES_ON_SLOW_VMS);
-        assertThat(finished / AVERAGED).isAtLeast(LEAST_FINISHED);
+                (double) hands / AVERAGED_SEEDS, finished / AVERAGED_SEEDS);
+        assertThat((double) hands / AVERAGED_SEEDS).isAtMost(MAX_CHANGES_ON_SLOW_VMS);
+        assertThat(finished / AVERAGED_SEEDS).isAtLeast(MIN_FINISHED_JOBS);
     }
 
     /**
@@ -134,13 +136,13 @@
      * more where the group deals anew before the other candidate has fallen silent.
      */
     @Example
-    void aRollingRestartMovesTheCellOncePerVmAtTheMost() {
+    void aRollingRestartMovesTheCellAtMostOncePerVm() {
         int terms = 0;
-        for (int seed = 1; seed <= AVERAGED; seed++) {
+        for (int seed = 1; seed <= AVERAGED_SEEDS; seed++) {
             CellHistory history = assertHolds(seed, CellHistory::playRollingRestart);
-            assertWithMessage("seed %s", seed).that(history.terms().count()).isAtMost(MOST_TERMS);
+            assertWithMessage("seed %s", seed).that(history.terms().count()).isAtMost(MAX_TERMS);
             terms += history.terms().count();
         }
-        System.out.println("rolling restart: terms on average " + (double) terms / AVERAGED);
+        System.out.println("rolling restart: terms on average " + (double) terms / AVERAGED_SEEDS);
     }
 }
--- a/core/src/test/java/org/boragegap/core/cell/CellHistory.java
+++ b/core/src/test/java/org/boragegap/core/cell/CellHistory.java
@@ -15,31 +15,31 @@
     static final long RESEND_MS = 1_300;
     private static final CellSettings SETTINGS = new CellSettings(FakeTarget.MAX_LEASE_MS, 2);
     private static final int VMS = 4;
-    private static final long LENGTH_MS = 14_000;
+    private static final long DURATION_MS = 14_000;
     private static final long FAULTS_UNTIL_MS = 10_000;
-    private static final long JOIN_MS = 250;
-    private static final long TICK_MS = 25;
-    private static final long LIST_MS = 400;
-    private static final long MEMBERS_MS = 3_000;
-    private static final long OPERATORS_MS = 50;
-    private static final long EVACUATE_MS = 5_000;
-    private static final long EVACUATE_AIM_MS = 300;
+    private static final long JOIN_INTERVAL_MS = 250;
+    private static final long TICK_INTERVAL_MS = 25;
+    private static final long TARGETS_POLL_MS = 400;
+    private static final long MEMBERS_POLL_MS = 3_000;
+    private static final long OPERATORS_POLL_MS = 50;
+    private static final long EVACUATION_LIMIT_MS = 5_000;
+    private static final long EVACUATION_GOAL_MS = 300;
     private static final long BUDGET_MS = 2_500;
-    private static final long SERVE_ON_MOST_MS = 1_500;
+    private static final long MAX_SERVE_ON_MS = 1_500;
 
     private final SplittableRandom mRandom;
-    private final Hops mHops;
-    private final InvariantChecker mOracle = new InvariantChecker();
+    private final NetworkDelays mDelays;
+    private final InvariantChecker mInvariants = new InvariantChecker();
     private final FakeGroup mGroup;
     private final List<FakeEntryVm> mVms = new ArrayList<>();
     private final SimulatedClock mClock = new SimulatedClock();
     private final FakePlatform mPlatform;
     private final OrderTransport mOrders;
     private long mNextTicket = 1;
-    private final TermCount mTerms = new TermCount();
+    private final TermStatistics mTerms = new TermStatistics();
     private final Consumer<String> mTrace;
     private boolean mStoreDown;
-    private final Disturbances mPercent = new Disturbances();
+    private final FaultRates mRates = new FaultRates();
 
     CellHistory(long seed) {
         this(seed, line -> {});
@@ -49,10 +49,10 @@
     CellHistory(long seed, Consumer<String> trace) {
         mTrace = trace;
         mRandom = new SplittableRandom(seed);
-        mHops = new Hops(mRandom);
+        mDelays = new NetworkDelays(mRandom);
         mGroup = new FakeGroup(mRandom.split());
-        mPlatform = new FakePlatform(mClock, mRandom, mOracle);
-        mOrders = new OrderTransport(mClock, mRandom, mHops, mPercent, mPlatform, mOracle);
+        mPlatform = new FakePlatform(mClock, mRandom, mInvariants);
+        mOrders = new OrderTransport(mClock, mRandom, mDelays, mRates, mPlatform, mInvariants);
         for (int i = 0; i < VMS; i++) {
             FakeEntryVm vm = new FakeEntryVm("vm" + i);
             mVms.add(vm);
@@ -62,13 +62,13 @@
 
     /** Plays the usual failures while the store takes up to 340 ms for each answer. */
     List<String> playSlowStore() {
-        mHops.slowStore(mClock);
+        mDelays.scheduleSlowStore(mClock);
         return play();
     }
 
     /** Plays a day on which all VMs are stopped and started in turn, and nothing else happens. */
     List<String> playRollingRestart() {
-        bringJobs();
+        scheduleJobs();
         for (int i = 0; i < VMS; i++) {
             FakeEntryVm vm = mVms.get(i);
             after(2_000 + i * 2_000L, () -> stopAsPlanned(vm));
@@ -82,8 +82,8 @@
      * in it, so a VM that is held up for longer has truly lost it.
      */
     List<String> playSlowVms() {
-        bringJobs();
-        new HoldUps(mClock, mRandom).begin(mVms);
+        scheduleJobs();
+        new StallInjector(mClock, mRandom).start(mVms);
         return run();
     }
 
@@ -91,10 +91,10 @@
      * Plays the usual failures while operators empty domains and take them back, and targets' room
      * shrinks and grows.
      */
-    List<String> playEvacuationsAndRooms() {
-        mOracle.evacuateWithin(EVACUATE_MS);
+    List<String> playEvacuationsAndResizes() {
+        mInvariants.evacuateWithin(EVACUATION_LIMIT_MS);
         for (int i = 0; i < 3; i++) {
-            long forMs = EVACUATE_MS + mRandom.nextLong(3_000);
+            long forMs = EVACUATION_LIMIT_MS + mRandom.nextLong(3_000);
             after(500 + mRandom.nextLong(4_000), () -> mPlatform.evacuateOne(forMs));
             after(1_000 + mRandom.nextLong(8_000), mPlatform::resizeSome);
         }
@@ -102,7 +102,7 @@
     }
 
     /** Plays the usual failures while some targets crash at once, again and again. */
-    List<String> playCrashWaves() {
+    List<String> playMassCrashes() {
         int waves = 2 + mRandom.nextInt(3);
         for (int i = 0; i < waves; i++) {
             after(1_700 + mRandom.nextLong(FAULTS_UNTIL_MS - 1_700), mPlatform::crashSome);
@@ -111,13 +111,13 @@
     }
 
     /** Plays evacuations on an otherwise calm day; they are to be heeded soon. */
-    List<String> playCalmEvacuations() {
-        mOracle.evacuateWithin(EVACUATE_AIM_MS);
+    List<String> playEvacuationsWithoutFaults() {
+        mInvariants.evacuateWithin(EVACUATION_GOAL_MS);
         for (int i = 0; i < 3; i++) {
             long forMs = 1_000 + mRandom.nextLong(3_000);
             after(1_500 + mRandom.nextLong(7_000), () -> mPlatform.evacuateOne(forMs));
         }
-        bringJobs();
+        scheduleJobs();
         return run();
     }
 
@@ -126,35 +126,35 @@
      * them any more, and start again while the store takes up to 340 ms for each answer and deals
      * the cell anew now and then.
      */
-    List<String> playNewcomersOfASlowStore() {
-        mHops.slowStore(mClock);
+    List<String> playNewVmsWithSlowStore() {
+        mDelays.scheduleSlowStore(mClock);
         for (FakeEntryVm vm : mVms) {
-            after(1_600 + mRandom.nextLong(900), () -> takeFollowerAway(vm));
+            after(1_600 + mRandom.nextLong(900), () -> killFollower(vm));
         }
         for (int i = 0; i < 3; i++) {
-            after(2_000 + mRandom.nextLong(6_000), mGroup::deal);
+            after(2_000 + mRandom.nextLong(6_000), mGroup::rebalance);
         }
-        bringJobs();
+        scheduleJobs();
         return run();
     }
 
-    private void takeFollowerAway(FakeEntryVm vm) {
+    private void killFollower(FakeEntryVm vm) {
         if (vm.mMember.fence().isEmpty()) {
-            kill(vm, MEMBERS_MS + 2 * FakeGroup.LEASE_MS + mRandom.nextLong(1_000));
+            kill(vm, MEMBERS_POLL_MS + 2 * FakeGroup.LEASE_MS + mRandom.nextLong(1_000));
         }
     }
 
     /** Plays the history and returns what it broke. */
     List<String> play() {
-        bringJobs();
+        scheduleJobs();
         int faults = 2 + mRandom.nextInt(6);
         for (int i = 0; i < faults; i++) {
-            after(1_000 + mRandom.nextLong(FAULTS_UNTIL_MS - 1_000), this::fault);
+            after(1_000 + mRandom.nextLong(FAULTS_UNTIL_MS - 1_000), this::injectFault);
         }
         return run();
     }
 
-    private void bringJobs() {
+    private void scheduleJobs() {
         after(5, mPlatform::begin);
         for (long at = 1_500; at < FAULTS_UNTIL_MS; at += 30 + mRandom.nextInt(90)) {
             int job = (int) at;
@@ -163,17 +163,17 @@
     }
 
     private List<String> run() {
-        mClock.runUntil(LENGTH_MS, mOracle::setNow);
-        mOracle.close();
-        return mOracle.violations();
+        mClock.runUntil(DURATION_MS, mInvariants::setNow);
+        mInvariants.close();
+        return mInvariants.violations();
     }
 
     int finished() {
-        return mOracle.completedJobs();
+        return mInvariants.completedJobs();
     }
 
     /** The terms that began. */
-    TermCount terms() {
+    TermStatistics terms() {
         return mTerms;
     }
 
@@ -188,33 +188,33 @@
     // Entry VMs
 
     private void start(FakeEntryVm vm) {
-        vm.mLife++;
+        vm.mIncarnation++;
         vm.mAlive = true;
-        vm.mFollowsTargets = false;
-        vm.mStoodStillMs = 0;
-        vm.mHeldBack.clear();
+        vm.mWatchesTargets = false;
+        vm.mPausedMs = 0;
+        vm.mDeferred.clear();
         vm.mCallers.clear();
-        vm.mToldEvacuated = null;
+        vm.mLastEvacuated = null;
         ClockReading began = clock(vm);
         vm.mMember = CellMember.create(vm.mAddress, 0, SETTINGS, FakeGroup.LEASE_MS, began);
-        int life = vm.mLife;
+        int life = vm.mIncarnation;
         tick(vm, life);
         join(vm, life, true);
-        after(JOIN_MS, () -> members(vm, life));
-        list(vm, life);
-        operators(vm, life);
+        after(JOIN_INTERVAL_MS, () -> pollMembers(vm, life));
+        pollTargets(vm, life);
+        pollOperators(vm, life);
     }
 
     private ClockReading clock(FakeEntryVm vm) {
         return vm.clock(mClock.nowMs());
     }
 
-    private void on(FakeEntryVm vm, int life, Runnable action) {
-        vm.inLife(life, mClock, action);
+    private void inIncarnation(FakeEntryVm vm, int life, Runnable action) {
+        vm.inIncarnation(life, mClock, action);
     }
 
     private void feed(FakeEntryVm vm, int life, MemberEvent event) {
-        on(
+        inIncarnation(
                 vm,
                 life,
                 () -> {
@@ -222,32 +222,32 @@
                     boolean asked = vm.mMember.wantsCell();
                     vm.mMember.on(event, clock(vm), actions);
                     if (!asked && vm.mMember.wantsCell()) {
-                        mTerms.asked(mClock.nowMs());
+                        mTerms.recordCandidacy(mClock.nowMs());
                     }
                     actions.forEach(action -> run(vm, action));
                 });
     }
 
     private void tick(FakeEntryVm vm, int life) {
-        if (!vm.mAlive || vm.mLife != life) {
+        if (!vm.mAlive || vm.mIncarnation != life) {
             return;
         }
         feed(vm, life, new MemberEvent.Ticked());
-        after(TICK_MS, () -> on(vm, life, () -> tick(vm, life)));
+        after(TICK_INTERVAL_MS, () -> inIncarnation(vm, life, () -> tick(vm, life)));
     }
 
     private void join(FakeEntryVm vm, int life, boolean again) {
-        on(
+        inIncarnation(
                 vm,
                 life,
                 () -> {
                     if (again) {
-                        after(JOIN_MS, () -> join(vm, life, true));
+                        after(JOIN_INTERVAL_MS, () -> join(vm, life, true));
                     }
-                    if (!mStoreDown && !vm.mStoreCut) {
+                    if (!mStoreDown && !vm.mStoreLost) {
                         ClockReading sent = clock(vm);
                         boolean asks = vm.mMember.wantsCell();
-                        after(mHops.storeHop(), () -> joinAtStore(vm, life, asks, sent));
+                        after(mDelays.storeMs(), () -> joinAtStore(vm, life, asks, sent));
                     }
                 });
     }
@@ -257,92 +257,93 @@
                 mGroup.join(
                         vm.mAddress + "/" + life, asks, vm.mMember.generation(), mClock.nowMs());
         MemberEvent joined = new MemberEvent.Joined(answer.generation(), answer.holds(), sent);
-        after(mHops.storeHop(), () -> feed(vm, life, joined));
+        after(mDelays.storeMs(), () -> feed(vm, life, joined));
     }
 
-    private void members(FakeEntryVm vm, int life) {
-        on(
+    private void pollMembers(FakeEntryVm vm, int life) {
+        inIncarnation(
                 vm,
                 life,
                 () -> {
-                    after(MEMBERS_MS, () -> members(vm, life));
+                    after(MEMBERS_POLL_MS, () -> pollMembers(vm, life));
                     readMembers(vm, life);
                 });
     }
 
     /** Follows what operators write, one read at a time. */
-    private void operators(FakeEntryVm vm, int life) {
-        boolean read = !mStoreDown && !vm.mStoreCut;
-        on(vm, life, () -> after(mHops.storeHop(), () -> operatorsRead(vm, life, read)));
+    private void pollOperators(FakeEntryVm vm, int life) {
+        boolean read = !mStoreDown && !vm.mStoreLost;
+        inIncarnation(
+                vm, life, () -> after(mDelays.storeMs(), () -> operatorsPolled(vm, life, read)));
     }
 
-    private void operatorsRead(FakeEntryVm vm, int life, boolean read) {
+    private void operatorsPolled(FakeEntryVm vm, int life, boolean read) {
         Set<String> domains = mPlatform.evacuatedDomains();
-        if (!read || domains.equals(vm.mToldEvacuated)) {
-            after(OPERATORS_MS, () -> operators(vm, life));
+        if (!read || domains.equals(vm.mLastEvacuated)) {
+            after(OPERATORS_POLL_MS, () -> pollOperators(vm, life));
             return;
         }
-        vm.mToldEvacuated = domains;
+        vm.mLastEvacuated = domains;
         CellEvent event = new CellEvent.DomainsEvacuated(domains);
         after(
-                mHops.storeHop(),
+                mDelays.storeMs(),
                 () -> {
                     feedControl(vm, life, event);
-                    operators(vm, life);
+                    pollOperators(vm, life);
                 });
     }
 
     private void readMembers(FakeEntryVm vm, int life) {
-        if (mStoreDown || vm.mStoreCut) {
+        if (mStoreDown || vm.mStoreLost) {
             return;
         }
         long askedMs = clock(vm).monotonicMs();
         after(
-                mHops.storeHop(),
+                mDelays.storeMs(),
                 () -> {
                     Set<String> peers = mGroup.addresses(mClock.nowMs());
                     peers.remove(vm.mAddress);
                     after(
-                            mHops.storeHop(),
+                            mDelays.storeMs(),
                             () -> feed(vm, life, new MemberEvent.PeersListed(peers, askedMs)));
                 });
     }
 
-    private void list(FakeEntryVm vm, int life) {
-        on(
+    private void pollTargets(FakeEntryVm vm, int life) {
+        inIncarnation(
                 vm,
                 life,
                 () -> {
-                    after(LIST_MS, () -> list(vm, life));
-                    if (!mStoreDown && !vm.mStoreCut && vm.mFollowsTargets) {
-                        after(mHops.hop(), () -> feedList(vm, life));
+                    after(TARGETS_POLL_MS, () -> pollTargets(vm, life));
+                    if (!mStoreDown && !vm.mStoreLost && vm.mWatchesTargets) {
+                        after(mDelays.peerMs(), () -> feedTargets(vm, life));
                     }
                 });
     }
 
-    private void feedList(FakeEntryVm vm, int life) {
+    private void feedTargets(FakeEntryVm vm, int life) {
         feedControl(vm, life, new CellEvent.TargetsListed(mPlatform.listedTargets()));
     }
 
     private void run(FakeEntryVm vm, MemberAction action) {
-        int life = vm.mLife;
+        int life = vm.mIncarnation;
         if (action instanceof MemberAction.Send send) {
             send(vm, send);
         } else if (action instanceof MemberAction.Order order) {
             order(vm, life, order.order());
         } else if (action instanceof MemberAction.Reply reply) {
             replied(vm, reply.reply());
-        } else if (action instanceof MemberAction.FollowTargets follow) {
-            if (follow.follow()) {
-                mTerms.began(vm.mAddress);
+        } else if (action instanceof MemberAction.WatchTargets follow) {
+            if (follow.watch()) {
+                mTerms.recordTerm(vm.mAddress);
             }
-            vm.mFollowsTargets = follow.follow();
-            if (follow.follow() && !mStoreDown && !vm.mStoreCut) {
-                after(2 * mHops.hop(), () -> feedList(vm, life));
+            vm.mWatchesTargets = follow.watch();
+            if (follow.watch() && !mStoreDown && !vm.mStoreLost) {
+                after(2 * mDelays.peerMs(), () -> feedTargets(vm, life));
             }
         } else if (action instanceof MemberAction.ReadMembers) {
             readMembers(vm, life);
-        } else if (action instanceof MemberAction.JoinAgain) {
+        } else if (action instanceof MemberAction.Rejoin) {
             join(vm, life, false);
         } else if (action instanceof MemberAction.Log log) {
             mTrace.accept(mClock.nowMs() + " " + vm.mAddress + " " + log.decision());
@@ -352,11 +353,14 @@
     private void send(FakeEntryVm from, MemberAction.Send send) {
         FakeEntryVm to =
                 mVms.stream().filter(vm -> vm.mAddress.equals(send.address())).findFirst().get();
-        int life = to.mLife;
-        boolean cut = from.mCutFrom.contains(to.mAddress) || to.mCutFrom.contains(from.mAddress);
+        int life = to.mIncarnation;
+        boolean cut =
+                from.mDisconnectedFrom.contains(to.mAddress)
+                        || to.mDisconnectedFrom.contains(from.mAddress);
         if (!cut) {
             MemberEvent event = new MemberEvent.Received(from.mAddress, send.message());
-            long delayMs = chance(mPercent.mHeld) ? 300 + mRandom.nextLong(1_500) : mHops.hop();
+            long delayMs =
+                    chance(mRates.mLateMessages) ? 300 + mRandom.nextLong(1_500) : mDelays.peerMs();
             after(delayMs, () -> feed(to, life, event));
         }
     }
@@ -364,11 +368,11 @@
     // Orders
 
     private void order(FakeEntryVm vm, int life, CellAction order) {
-        mOrders.send(order, () -> isCut(vm, order), event -> feedControl(vm, life, event));
+        mOrders.send(order, () -> isDisconnected(vm, order), event -> feedControl(vm, life, event));
     }
 
-    private static boolean isCut(FakeEntryVm vm, CellAction order) {
-        return vm.mCutFrom.contains(Orders.target(order).id());
+    private static boolean isDisconnected(FakeEntryVm vm, CellAction order) {
+        return vm.mDisconnectedFrom.contains(Orders.target(order).id());
     }
 
     private void feedControl(FakeEntryVm vm, int life, CellEvent event) {
@@ -379,7 +383,7 @@
 
     private void submit(JobRequest request) {
         FakeEntryVm vm = mVms.get(mRandom.nextInt(VMS));
-        mOracle.submitted(request.id());
+        mInvariants.submitted(request.id());
         if (!vm.mAlive) {
             after(RESEND_MS, () -> submit(request));
             return;
@@ -387,7 +391,7 @@
         long ticket = mNextTicket++;
         vm.mCallers.put(ticket, request);
         EntryEvent event = new EntryEvent.Submitted(ticket, request, BUDGET_MS);
-        feed(vm, vm.mLife, new MemberEvent.ForDesk(event));
+        feed(vm, vm.mIncarnation, new MemberEvent.ForPendingJobs(event));
     }
 
     private void replied(FakeEntryVm vm, EntryAction.Reply reply) {
@@ -395,7 +399,7 @@
         if (request == null) {
             return;
         }
-        mOracle.answered(request, reply.verdict());
+        mInvariants.answered(request, reply.verdict());
         if (reply.verdict() instanceof Verdict.InDoubt) {
             after(RESEND_MS, () -> submit(request));
         }
@@ -403,25 +407,26 @@
 
     // Failures
 
-    private void fault() {
+    private void injectFault() {
         FakeEntryVm vm = mVms.get(mRandom.nextInt(VMS));
         long forMs = 200 + mRandom.nextLong(3_500);
         int kind = mRandom.nextInt(15);
         mTrace.accept(mClock.nowMs() + " failure " + kind + " of " + vm.mAddress + " for " + forMs);
         switch (kind) {
             case 0, 1 -> kill(vm, 300 + mRandom.nextLong(1_500));
-            case 2 -> vm.freeze(mClock, forMs);
-            case 3 -> during(forMs, () -> vm.mStoreCut = true, () -> vm.mStoreCut = false);
-            case 4 -> during(forMs, () -> cutOff(vm), vm.mCutFrom::clear);
+            case 2 -> vm.pause(mClock, forMs);
+            case 3 -> during(forMs, () -> vm.mStoreLost = true, () -> vm.mStoreLost = false);
+            case 4 -> during(forMs, () -> disconnect(vm), vm.mDisconnectedFrom::clear);
             case 5 -> during(forMs, () -> mStoreDown = true, () -> mStoreDown = false);
-            case 6 -> during(forMs, () -> mPercent.mLost = 20, () -> mPercent.mLost = 0);
-            case 7 -> during(forMs, () -> mPercent.mLate = 10, () -> mPercent.mLate = 0);
+            case 6 -> during(forMs, () -> mRates.mLostAnswers = 20, () -> mRates.mLostAnswers = 0);
+            case 7 -> during(forMs, () -> mRates.mLateOrders = 10, () -> mRates.mLateOrders = 0);
             case 8 -> mPlatform.crashOne();
-            case 9 -> mGroup.deal();
+            case 9 -> mGroup.rebalance();
             case 10 -> mPlatform.unlistSome(forMs);
             case 12 -> stopAsPlanned(vm);
-            case 11 -> during(forMs, () -> mPercent.mHeld = 30, () -> mPercent.mHeld = 0);
-            case 13 -> during(forMs, () -> mPercent.mSlow = 40, () -> mPercent.mSlow = 0);
+            case 11 ->
+                    during(forMs, () -> mRates.mLateMessages = 30, () -> mRates.mLateMessages = 0);
+            case 13 -> during(forMs, () -> mRates.mSlowAnswers = 40, () -> mRates.mSlowAnswers = 0);
             default -> mVms.forEach(each -> kill(each, 300 + mRandom.nextLong(900)));
         }
     }
@@ -443,44 +448,44 @@
 
     /** Gives the cell up, answers what waits, leaves the group when it may, and starts again. */
     private void stopAsPlanned(FakeEntryVm vm) {
-        if (vm.mAlive && mClock.nowMs() >= vm.mFrozenUntilMs) {
-            int life = vm.mLife;
+        if (vm.mAlive && mClock.nowMs() >= vm.mPausedUntilMs) {
+            int life = vm.mIncarnation;
             feed(vm, life, new MemberEvent.Resigned());
-            after(mRandom.nextLong(SERVE_ON_MOST_MS), () -> close(vm, life));
+            after(mRandom.nextLong(MAX_SERVE_ON_MS), () -> close(vm, life));
         }
     }
 
     private void close(FakeEntryVm vm, int life) {
-        feed(vm, life, new MemberEvent.Closed());
-        lookDrained(vm, life);
+        feed(vm, life, new MemberEvent.Draining());
+        leaveWhenDrained(vm, life);
     }
 
-    private void lookDrained(FakeEntryVm vm, int life) {
-        on(
+    private void leaveWhenDrained(FakeEntryVm vm, int life) {
+        inIncarnation(
                 vm,
                 life,
                 () -> {
                     boolean drained =
                             vm.mMember.waitingCallers() == 0 && vm.mMember.mayLeave(clock(vm));
                     if (!drained) {
-                        after(TICK_MS, () -> lookDrained(vm, life));
+                        after(TICK_INTERVAL_MS, () -> leaveWhenDrained(vm, life));
                         return;
                     }
-                    if (!mStoreDown && !vm.mStoreCut) {
+                    if (!mStoreDown && !vm.mStoreLost) {
                         mGroup.leave(vm.member());
                     }
                     kill(vm, 500);
                 });
     }
 
-    private void cutOff(FakeEntryVm vm) {
+    private void disconnect(FakeEntryVm vm) {
         boolean all = mRandom.nextBoolean();
         mVms.forEach(
                 other -> {
                     if (other != vm && (all || mRandom.nextBoolean())) {
-                        vm.mCutFrom.add(other.mAddress);
+                        vm.mDisconnectedFrom.add(other.mAddress);
                     }
                 });
-        vm.mCutFrom.addAll(mPlatform.randomTargets());
+        vm.mDisconnectedFrom.addAll(mPlatform.randomTargets());
     }
 }
--- a/core/src/test/java/org/boragegap/core/cell/CellLayoutTest.java
+++ b/core/src/test/java/org/boragegap/core/cell/CellLayoutTest.java
@@ -21,7 +21,7 @@
     }
 
     @Test
-    void theSizeToDesignForHasACellForEachFiftyTargets() {
+    void aLargeDeploymentHasACellForEachFiftyTargets() {
         List<Integer> vms = Collections.nCopies(250, 1_000);
         assertThat(CellLayout.forDeployment(245, vms)).isEqualTo(CellLayout.ofCells(5));
         assertThat(CellLayout.forDeployment(1_400, vms)).isEqualTo(CellLayout.ofCells(28));
@@ -40,15 +40,15 @@
     /** Their controllers are held up for longer than a lease of a second by their first load. */
     @Test
     void weakVmsGetALongerLease() {
-        assertThat(CellLayout.forDeployment(85, Collections.nCopies(18, 120)).leastLeaseMs())
+        assertThat(CellLayout.forDeployment(85, Collections.nCopies(18, 120)).minLeaseMs())
                 .isEqualTo(3_000);
         List<Integer> someStrong = new ArrayList<>(Collections.nCopies(9, 120));
         someStrong.add(750);
-        assertThat(CellLayout.forDeployment(33, someStrong).leastLeaseMs()).isEqualTo(0);
+        assertThat(CellLayout.forDeployment(33, someStrong).minLeaseMs()).isEqualTo(0);
     }
 
     @Test
-    void aLayoutWithALeaseIsReadAgain() {
+    void aLayoutWithALeaseRoundTrips() {
         CellLayout layout = new CellLayout(10, 3_000);
         assertThat(layout.text()).isEqualTo("10 3000");
         assertThat(CellLayout.parse("10 3000")).hasValue(layout);
@@ -56,7 +56,7 @@
 
     /** Some VMs are strong: they control the cells, and these are as large as they can bear. */
     @Test
-    void theStrongestVmsCount() {
+    void theStrongestVmsSetTheSizeOfCells() {
         List<Integer> vms = new ArrayList<>(Collections.nCopies(32, 360));
         vms.addAll(Collections.nCopies(15, 1_500));
         assertThat(CellLayout.forDeployment(260, vms)).isEqualTo(CellLayout.ofCells(6));
@@ -68,13 +68,13 @@
     }
 
     @Property(tries = 200, seed = "1")
-    void whatIsWrittenIsReadAgain(@ForAll @IntRange(min = 1, max = 5_000) int targets) {
+    void layoutsRoundTripThroughText(@ForAll @IntRange(min = 1, max = 5_000) int targets) {
         CellLayout layout = CellLayout.forDeployment(targets, List.of(500));
         assertThat(CellLayout.parse(layout.text())).hasValue(layout);
     }
 
     @Test
-    void whatIsNoNumberOfCellsIsNotTaken() {
+    void invalidTextIsRejected() {
         for (String text : new String[] {"", "0", "-1", "61", "five", "5 x", "5 -1", "5 3000 1"}) {
             assertThat(CellLayout.parse(text)).isEmpty();
         }
--- a/core/src/test/java/org/boragegap/core/cell/CellMemberTest.java
+++ b/core/src/test/java/org/boragegap/core/cell/CellMemberTest.java
@@ -37,11 +37,11 @@
         feed(ms, new MemberEvent.Joined(generation, holds, at(ms)));
     }
 
-    private void hears(long ms, String from, CellMessage message) {
+    private void receive(long ms, String from, CellMessage message) {
         feed(ms, new MemberEvent.Received(from, message));
     }
 
-    private <T extends CellMessage> List<T> said(String to, Class<T> kind) {
+    private <T extends CellMessage> List<T> sent(String to, Class<T> kind) {
         return mActions.stream()
                 .filter(MemberAction.Send.class::isInstance)
                 .map(MemberAction.Send.class::cast)
@@ -50,8 +50,8 @@
                 .toList();
     }
 
-    private static CellMessage.Following follows(long fence, long targetsVersion) {
-        return new CellMessage.Following(fence, SENT, false, true, 0, 0, targetsVersion);
+    private static CellMessage.HeartbeatReply heartbeatReply(long fence, long targetsVersion) {
+        return new CellMessage.HeartbeatReply(fence, SENT, false, true, 0, 0, targetsVersion);
     }
 
     /**
@@ -60,66 +60,66 @@
      * under a later term; who had no list waited until all leases were over.
      */
     @Nested
-    final class ListOfTargets {
-        private long begin() {
+    final class TargetList {
+        private long beginTerm() {
             join(0, 3, true, "vm2");
             feed(10, new MemberEvent.ForController(new CellEvent.TargetsListed(List.of(TARGET))));
             return mMember.fence().get();
         }
 
         @Test
-        void aNewcomerIsToldTheList() {
-            long fence = begin();
-            hears(20, "vm3", follows(fence, 0));
-            List<CellMessage.Targets> told = said("vm3", CellMessage.Targets.class);
+        void aNewVmIsSentTheList() {
+            long fence = beginTerm();
+            receive(20, "vm3", heartbeatReply(fence, 0));
+            List<CellMessage.Targets> told = sent("vm3", CellMessage.Targets.class);
             assertThat(told).containsExactly(new CellMessage.Targets(fence, 1, List.of(TARGET)));
         }
 
         @Test
-        void whoHasTheListIsNotToldAgain() {
-            long fence = begin();
+        void aVmThatHasTheListIsNotSentItAgain() {
+            long fence = beginTerm();
             mActions.clear();
-            hears(20, "vm2", follows(fence, 1));
-            assertThat(said("vm2", CellMessage.Targets.class)).isEmpty();
+            receive(20, "vm2", heartbeatReply(fence, 1));
+            assertThat(sent("vm2", CellMessage.Targets.class)).isEmpty();
         }
 
         @Test
-        void aListFromTheTermBeforeIsToldAsThatOfThisTerm() {
-            hears(0, "vm2", new CellMessage.Leading(3_000, SENT, PERIOD_MS));
-            hears(0, "vm2", new CellMessage.Targets(3_000, 4, List.of(TARGET)));
-            hears(5, "vm2", new CellMessage.Leaving(3_000));
+        void anInheritedListIsSentAsThatOfTheNewTerm() {
+            receive(0, "vm2", new CellMessage.Heartbeat(3_000, SENT, PERIOD_MS));
+            receive(0, "vm2", new CellMessage.Targets(3_000, 4, List.of(TARGET)));
+            receive(5, "vm2", new CellMessage.Leaving(3_000));
             join(10, 4, true, "vm2");
             long fence = mMember.fence().get();
             CellMessage.Targets own = new CellMessage.Targets(fence, 1, List.of(TARGET));
-            assertThat(said("vm2", CellMessage.Targets.class)).contains(own);
+            assertThat(sent("vm2", CellMessage.Targets.class)).contains(own);
         }
 
         @Test
         void anEarlierListDoesNotReplaceALaterOne() {
-            hears(0, "vm2", new CellMessage.Leading(3_000, SENT, PERIOD_MS));
-            hears(0, "vm2", new CellMessage.Targets(3_000, 2, List.of(TARGET)));
-            hears(0, "vm2", new CellMessage.Targets(3_000, 1, List.of()));
+            receive(0, "vm2", new CellMessage.Heartbeat(3_000, SENT, PERIOD_MS));
+            receive(0, "vm2", new CellMessage.Targets(3_000, 2, List.of(TARGET)));
+            receive(0, "vm2", new CellMessage.Targets(3_000, 1, List.of()));
             mActions.clear();
-            hears(5, "vm2", new CellMessage.Leading(3_000, SENT, PERIOD_MS));
-            assertThat(said("vm2", CellMessage.Following.class).get(0).targetsVersion())
+            receive(5, "vm2", new CellMessage.Heartbeat(3_000, SENT, PERIOD_MS));
+            assertThat(sent("vm2", CellMessage.HeartbeatReply.class).get(0).targetsVersion())
                     .isEqualTo(2);
         }
     }
 
     /** The group has dealt it the cell while it no longer asks for it. */
     @Nested
-    final class IsDealtTheCell {
+    final class IsAssignedTheCell {
         /** A controller in good health would be deposed, and its callers wait for the next term. */
         @Test
-        void butHearsAnotherControlIt() {
-            hears(0, "vm2", new CellMessage.Leading(3_000, SENT, PERIOD_MS));
+        void whileItHearsAnotherController() {
+            receive(0, "vm2", new CellMessage.Heartbeat(3_000, SENT, PERIOD_MS));
             join(10, 4, true, "vm2");
             assertThat(mMember.fence()).isEmpty();
         }
 
         /** It was held up beyond its lease; nobody else has been dealt the cell since. */
         @Test
-        void afterItsOwnTermHasLapsed() {
+        void afterItsOwnTermHasExpired() {
             join(0, 3, true, "vm2");
             assertThat(mMember.fence()).isPresent();
             feed(1_050, new MemberEvent.Ticked());
@@ -134,18 +134,18 @@
      * the cell; when each VM asks for it, the group deals it anew with every further one.
      */
     @Nested
-    final class AsksForTheCell {
-        private void stayInTouch(long fromMs, long toMs, String... peers) {
+    final class BecomesCandidate {
+        private void stayConnected(long fromMs, long toMs, String... peers) {
             for (long ms = fromMs; ms <= toMs; ms += 50) {
                 join(ms, 3, false, peers);
                 feed(ms, new MemberEvent.Ticked());
             }
         }
 
-        private void allMiss(long fromMs, long toMs, int strength, String... peers) {
+        private void allMissTheController(long fromMs, long toMs, int strength, String... peers) {
             for (long ms = fromMs; ms <= toMs; ms += 50) {
                 for (String peer : peers) {
-                    hears(ms, peer, new CellMessage.Missing(0, strength));
+                    receive(ms, peer, new CellMessage.ControllerMissing(0, strength));
                 }
                 join(ms, 3, false, peers);
                 feed(ms, new MemberEvent.Ticked());
@@ -153,21 +153,21 @@
         }
 
         @Test
-        void theStrongestAsksAsSoonAsItHasListened() {
+        void theStrongestBecomesCandidateOnceItHasListened() {
             mMember.strength(1_000);
-            allMiss(0, 240, 500, "vm2", "vm3");
+            allMissTheController(0, 240, 500, "vm2", "vm3");
             assertThat(mMember.wantsCell()).isFalse();
-            allMiss(250, 300, 500, "vm2", "vm3");
+            allMissTheController(250, 300, 500, "vm2", "vm3");
             assertThat(mMember.wantsCell()).isTrue();
-            assertThat(mActions).contains(new MemberAction.JoinAgain());
+            assertThat(mActions).contains(new MemberAction.Rejoin());
         }
 
         @Test
-        void aWeakerOneGivesTheOthersTime() {
+        void aWeakerVmWaitsForStrongerOnes() {
             mMember.strength(500);
-            allMiss(0, 1_400, 1_000, "vm2", "vm3");
+            allMissTheController(0, 1_400, 1_000, "vm2", "vm3");
             assertThat(mMember.wantsCell()).isFalse();
-            allMiss(1_410, 1_510, 1_000, "vm2", "vm3");
+            allMissTheController(1_410, 1_510, 1_000, "vm2", "vm3");
             assertThat(mMember.wantsCell()).isTrue();
         }
 
@@ -176,47 +176,47 @@
          * The group dealt it to one, and a moment later, when further leases ended, to the other.
          */
         @Test
-        void aVmThatHearsTheControllerTellsTheGroupAtOnceThatItAsksNoLonger() {
+        void aCandidateThatHearsAControllerRejoinsAtOnce() {
             mMember.strength(1_000);
-            allMiss(0, 300, 500, "vm2", "vm3");
+            allMissTheController(0, 300, 500, "vm2", "vm3");
             assertThat(mMember.wantsCell()).isTrue();
             mActions.clear();
-            hears(305, "vm2", new CellMessage.Leading(4_000, SENT, PERIOD_MS));
+            receive(305, "vm2", new CellMessage.Heartbeat(4_000, SENT, PERIOD_MS));
             assertThat(mMember.wantsCell()).isFalse();
-            assertThat(mActions).contains(new MemberAction.JoinAgain());
+            assertThat(mActions).contains(new MemberAction.Rejoin());
         }
 
         /** Cut off from the others only: nobody else misses the controller that it can't hear. */
         @Test
-        void aVmThatAloneMissesTheControllerDoesNotAsk() {
-            stayInTouch(0, 3_000, "vm2", "vm3");
+        void aVmThatAloneMissesTheControllerIsNoCandidate() {
+            stayConnected(0, 3_000, "vm2", "vm3");
             assertThat(mMember.wantsCell()).isFalse();
-            assertThat(said("vm2", CellMessage.Missing.class)).isNotEmpty();
+            assertThat(sent("vm2", CellMessage.ControllerMissing.class)).isNotEmpty();
         }
 
         @Test
-        void whoHearsAnotherControllerAsksNoLonger() {
-            allMiss(0, 400, -1, "vm2", "vm3");
-            hears(410, "vm2", new CellMessage.Leading(3_000, SENT, PERIOD_MS));
+        void hearingAnotherControllerEndsTheCandidacy() {
+            allMissTheController(0, 400, -1, "vm2", "vm3");
+            receive(410, "vm2", new CellMessage.Heartbeat(3_000, SENT, PERIOD_MS));
             assertThat(mMember.wantsCell()).isFalse();
         }
 
         @Test
-        void anEarlierControllerThatStillSaysSoIsNotListenedTo() {
-            hears(0, "vm3", new CellMessage.Leading(4_000, SENT, PERIOD_MS));
-            allMiss(0, 1_000, -1, "vm2", "vm3");
-            hears(1_010, "vm2", new CellMessage.Leading(3_000, SENT, PERIOD_MS));
+        void heartbeatsOfAnEarlierTermAreIgnored() {
+            receive(0, "vm3", new CellMessage.Heartbeat(4_000, SENT, PERIOD_MS));
+            allMissTheController(0, 1_000, -1, "vm2", "vm3");
+            receive(1_010, "vm2", new CellMessage.Heartbeat(3_000, SENT, PERIOD_MS));
             assertThat(mMember.wantsCell()).isTrue();
         }
 
         /** A controller stops as planned: the next one asks at once, not after a silence. */
         @Test
-        void theNextOneAsksAtOnceWhenTheControllerLeaves() {
+        void theNextVmIsCandidateAtOnceWhenTheControllerLeaves() {
             mMember.strength(1_000);
-            stayInTouch(0, 1_000, "vm2", "vm3");
-            hears(1_000, "vm2", new CellMessage.Leading(3_000, SENT, PERIOD_MS));
-            hears(1_010, "vm3", new CellMessage.Missing(3_000, 0));
-            hears(1_020, "vm2", new CellMessage.Leaving(3_000));
+            stayConnected(0, 1_000, "vm2", "vm3");
+            receive(1_000, "vm2", new CellMessage.Heartbeat(3_000, SENT, PERIOD_MS));
+            receive(1_010, "vm3", new CellMessage.ControllerMissing(3_000, 0));
+            receive(1_020, "vm2", new CellMessage.Leaving(3_000));
             feed(1_045, new MemberEvent.Ticked());
             assertThat(mMember.wantsCell()).isTrue();
         }
@@ -227,15 +227,15 @@
          * lasted. It tells the others, and the controller answers.
          */
         @Test
-        void aVmThatTheStoreTurnsAwayTellsTheOthers() {
-            stayInTouch(0, 200, "vm2", "vm3");
-            hears(200, "vm2", new CellMessage.Leading(3_000, SENT, PERIOD_MS));
+        void aVmRejectedByTheStoreNotifiesTheOthers() {
+            stayConnected(0, 200, "vm2", "vm3");
+            receive(200, "vm2", new CellMessage.Heartbeat(3_000, SENT, PERIOD_MS));
             mActions.clear();
             for (long ms = 250; ms <= 2_000; ms += 50) {
                 feed(ms, new MemberEvent.Ticked());
             }
             // From 550 ms on, every 100 ms.
-            assertThat(said("vm2", CellMessage.Missing.class)).hasSize(15);
+            assertThat(sent("vm2", CellMessage.ControllerMissing.class)).hasSize(15);
             assertThat(mMember.wantsCell()).isFalse();
         }
 
@@ -245,25 +245,25 @@
          * clock that it had been silent, before they read what had come in meanwhile.
          */
         @Test
-        void aVmThatWasHeldUpDoesNotTakeItForTheControllersSilence() {
-            stayInTouch(0, 1_000, "vm2", "vm3");
-            hears(1_000, "vm2", new CellMessage.Leading(3_000, SENT, PERIOD_MS));
+        void aStallDoesNotCountAsSilenceOfTheController() {
+            stayConnected(0, 1_000, "vm2", "vm3");
+            receive(1_000, "vm2", new CellMessage.Heartbeat(3_000, SENT, PERIOD_MS));
             mActions.clear();
             feed(1_900, new MemberEvent.Ticked());
-            assertThat(said("vm2", CellMessage.Missing.class)).isEmpty();
-            assertThat(mMember.servesCallers(at(1_900))).isTrue();
+            assertThat(sent("vm2", CellMessage.ControllerMissing.class)).isEmpty();
+            assertThat(mMember.canServeCallers(at(1_900))).isTrue();
         }
 
         /** The controller has said that it is heard every 400 ms; a second is no silence then. */
         @Test
-        void aSilenceIsJudgedByThePeriodThatTheControllerStates() {
-            stayInTouch(0, 1_000, "vm2", "vm3");
-            hears(1_000, "vm2", new CellMessage.Leading(3_000, SENT, 400));
+        void silenceIsMeasuredAgainstTheAnnouncedPeriod() {
+            stayConnected(0, 1_000, "vm2", "vm3");
+            receive(1_000, "vm2", new CellMessage.Heartbeat(3_000, SENT, 400));
             mActions.clear();
-            stayInTouch(1_050, 1_750, "vm2", "vm3");
-            assertThat(said("vm2", CellMessage.Missing.class)).isEmpty();
-            stayInTouch(1_800, 1_850, "vm2", "vm3");
-            assertThat(said("vm2", CellMessage.Missing.class)).isNotEmpty();
+            stayConnected(1_050, 1_750, "vm2", "vm3");
+            assertThat(sent("vm2", CellMessage.ControllerMissing.class)).isEmpty();
+            stayConnected(1_800, 1_850, "vm2", "vm3");
+            assertThat(sent("vm2", CellMessage.ControllerMissing.class)).isNotEmpty();
         }
 
         /**
@@ -277,13 +277,13 @@
             feed(0, new MemberEvent.Joined(3, true, at(0)));
             feed(0, new MemberEvent.PeersListed(peers, 0));
             long fence = mMember.fence().get();
-            peers.forEach(peer -> hears(5, peer, follows(fence, 0)));
+            peers.forEach(peer -> receive(5, peer, heartbeatReply(fence, 0)));
             for (long ms = 10; ms <= 590; ms += 10) {
                 feed(ms, new MemberEvent.Ticked());
             }
             EntryEvent job =
                     new EntryEvent.Submitted(1, FakeJobs.request(new SplittableRandom(1), 1), 900);
-            feed(595, new MemberEvent.ForDesk(job));
+            feed(595, new MemberEvent.ForPendingJobs(job));
             assertThat(mMember.state().jobs()).isEqualTo(1);
         }
 
@@ -291,27 +291,27 @@
         void aControllerAnswersAVmThatMissesIt() {
             join(0, 3, true, "vm2");
             long fence = mMember.fence().get();
-            hears(10, "vm3", new CellMessage.Missing(0, 0));
-            assertThat(said("vm3", CellMessage.Leading.class))
-                    .contains(new CellMessage.Leading(fence, at(10), PERIOD_MS));
+            receive(10, "vm3", new CellMessage.ControllerMissing(0, 0));
+            assertThat(sent("vm3", CellMessage.Heartbeat.class))
+                    .contains(new CellMessage.Heartbeat(fence, at(10), PERIOD_MS));
         }
 
         /** Its membership lapsed: the others needn't wait until its heartbeats have been missed. */
         @Test
-        void aControllerWhoseMembershipIsOverSaysSo() {
+        void aControllerAnnouncesThatItsMembershipIsOver() {
             join(0, 3, true, "vm2");
             long fence = mMember.fence().get();
             feed(LEASE_MS + 25, new MemberEvent.Ticked());
-            assertThat(said("vm2", CellMessage.Leaving.class))
+            assertThat(sent("vm2", CellMessage.Leaving.class))
                     .containsExactly(new CellMessage.Leaving(fence));
         }
 
         @Test
-        void aControllerThatStopsSaysSo() {
+        void aControllerAnnouncesThatItStops() {
             join(0, 3, true, "vm2");
             long fence = mMember.fence().get();
             feed(10, new MemberEvent.Resigned());
-            assertThat(said("vm2", CellMessage.Leaving.class))
+            assertThat(sent("vm2", CellMessage.Leaving.class))
                     .containsExactly(new CellMessage.Leaving(fence));
         }
     }
@@ -326,24 +326,24 @@
             StepRequest step = StepRequest.cpuOnly(1, 1_000, 100);
             JobRequest request =
                     new JobRequest("00000000000000aa", "q", "s", 0, 3, 2, 60, "", List.of(step), 1);
-            feed(ms, new MemberEvent.ForDesk(new EntryEvent.Submitted(1, request, 2_000)));
+            feed(ms, new MemberEvent.ForPendingJobs(new EntryEvent.Submitted(1, request, 2_000)));
         }
 
         @Test
-        void callersAreServedByTheNextControllerUntilItCloses() {
-            hears(0, "vm2", new CellMessage.Leading(3_000, SENT, PERIOD_MS));
+        void callersAreServedByTheNextControllerUntilTheVmDrains() {
+            receive(0, "vm2", new CellMessage.Heartbeat(3_000, SENT, PERIOD_MS));
             feed(10, new MemberEvent.Resigned());
             submit(20);
-            assertThat(said("vm2", CellMessage.Offer.class)).hasSize(1);
+            assertThat(sent("vm2", CellMessage.Offer.class)).hasSize(1);
         }
 
         @Test
-        void callersAreRefusedOnceItHasClosed() {
-            hears(0, "vm2", new CellMessage.Leading(3_000, SENT, PERIOD_MS));
+        void callersAreRefusedOnceTheVmDrains() {
+            receive(0, "vm2", new CellMessage.Heartbeat(3_000, SENT, PERIOD_MS));
             feed(10, new MemberEvent.Resigned());
-            feed(15, new MemberEvent.Closed());
+            feed(15, new MemberEvent.Draining());
             submit(20);
-            assertThat(said("vm2", CellMessage.Offer.class)).isEmpty();
+            assertThat(sent("vm2", CellMessage.Offer.class)).isEmpty();
         }
     }
 
@@ -354,22 +354,22 @@
     @Nested
     final class ServesCallers {
         @Test
-        void aVmInTouchWithTheStoreDoes() {
+        void aVmConnectedToTheStoreDoes() {
             join(2_000, 3, false);
-            assertThat(mMember.servesCallers(at(2_500))).isTrue();
+            assertThat(mMember.canServeCallers(at(2_500))).isTrue();
         }
 
         @Test
         void aVmThatHearsAControllerDoesWithoutTheStore() {
-            hears(3_000, "vm2", new CellMessage.Leading(3_000, SENT, PERIOD_MS));
-            assertThat(mMember.servesCallers(at(3_100))).isTrue();
+            receive(3_000, "vm2", new CellMessage.Heartbeat(3_000, SENT, PERIOD_MS));
+            assertThat(mMember.canServeCallers(at(3_100))).isTrue();
         }
 
         @Test
         void aVmThatHearsNeitherDoesNot() {
             join(0, 3, false);
-            hears(100, "vm2", new CellMessage.Leading(3_000, SENT, PERIOD_MS));
-            assertThat(mMember.servesCallers(at(1_500))).isFalse();
+            receive(100, "vm2", new CellMessage.Heartbeat(3_000, SENT, PERIOD_MS));
+            assertThat(mMember.canServeCallers(at(1_500))).isFalse();
         }
     }
 }
--- a/core/src/test/java/org/boragegap/core/cell/FakeEntryVm.java
+++ b/core/src/test/java/org/boragegap/core/cell/FakeEntryVm.java
@@ -12,16 +12,16 @@
 final class FakeEntryVm {
     final String mAddress;
     CellMember mMember;
-    int mLife;
+    int mIncarnation;
     boolean mAlive;
-    long mFrozenUntilMs;
-    long mHeldUpUntilMs;
-    long mStoodStillMs;
-    boolean mStoreCut;
-    boolean mFollowsTargets;
-    Set<String> mToldEvacuated;
-    final Set<String> mCutFrom = new HashSet<>();
-    final List<Runnable> mHeldBack = new ArrayList<>();
+    long mPausedUntilMs;
+    long mStalledUntilMs;
+    long mPausedMs;
+    boolean mStoreLost;
+    boolean mWatchesTargets;
+    Set<String> mLastEvacuated;
+    final Set<String> mDisconnectedFrom = new HashSet<>();
+    final List<Runnable> mDeferred = new ArrayList<>();
     final Map<Long, JobRequest> mCallers = new HashMap<>();
 
     FakeEntryVm(String address) {
@@ -29,42 +29,42 @@
     }
 
     String member() {
-        return mAddress + "/" + mLife;
+        return mAddress + "/" + mIncarnation;
     }
 
     /** Its clocks; the steady one doesn't count the time for which it stood still. */
     ClockReading clock(long nowMs) {
-        return new ClockReading(nowMs - mStoodStillMs, nowMs);
+        return new ClockReading(nowMs - mPausedMs, nowMs);
     }
 
     /** Runs something in this life of it; if it stands still, when it goes on. */
-    void inLife(int life, SimulatedClock clock, Runnable action) {
-        if (!mAlive || mLife != life) {
+    void inIncarnation(int life, SimulatedClock clock, Runnable action) {
+        if (!mAlive || mIncarnation != life) {
             return;
         }
-        if (clock.nowMs() < Math.max(mFrozenUntilMs, mHeldUpUntilMs)) {
-            mHeldBack.add(() -> inLife(life, clock, action));
+        if (clock.nowMs() < Math.max(mPausedUntilMs, mStalledUntilMs)) {
+            mDeferred.add(() -> inIncarnation(life, clock, action));
             return;
         }
         action.run();
     }
 
     /** Stands still: its steady clock doesn't count the time, and what comes in waits. */
-    void freeze(SimulatedClock clock, long forMs) {
-        if (!mAlive || clock.nowMs() < mFrozenUntilMs) {
+    void pause(SimulatedClock clock, long forMs) {
+        if (!mAlive || clock.nowMs() < mPausedUntilMs) {
             return;
         }
-        mFrozenUntilMs = clock.nowMs() + forMs;
-        int life = mLife;
-        clock.after(forMs, () -> wake(life, forMs));
+        mPausedUntilMs = clock.nowMs() + forMs;
+        int life = mIncarnation;
+        clock.after(forMs, () -> resume(life, forMs));
     }
 
-    private void wake(int life, long stoodStillMs) {
-        mFrozenUntilMs = 0;
-        if (mAlive && mLife == life) {
-            mStoodStillMs += stoodStillMs;
-            List<Runnable> held = new ArrayList<>(mHeldBack);
-            mHeldBack.clear();
+    private void resume(int life, long stoodStillMs) {
+        mPausedUntilMs = 0;
+        if (mAlive && mIncarnation == life) {
+            mPausedMs += stoodStillMs;
+            List<Runnable> held = new ArrayList<>(mDeferred);
+            mDeferred.clear();
             held.forEach(Runnable::run);
         }
     }
--- a/core/src/test/java/org/boragegap/core/cell/FakeGroup.java
+++ b/core/src/test/java/org/boragegap/core/cell/FakeGroup.java
@@ -14,12 +14,12 @@
     static final long LEASE_MS = 1_000;
 
     private final Map<String, Long> mMembers = new LinkedHashMap<>();
-    private final Set<String> mAsking = new TreeSet<>();
+    private final Set<String> mCandidates = new TreeSet<>();
     private final SplittableRandom mRandom;
     private String mOwner = "";
-    private String mNext = "";
+    private String mNextOwner = "";
     private long mGeneration = 1;
-    private long mNextSince;
+    private long mNextOwnerGeneration;
 
     FakeGroup(SplittableRandom random) {
         mRandom = random;
@@ -30,27 +30,30 @@
 
     Answer join(String member, boolean asks, long generation, long nowMs) {
         expire(nowMs);
-        boolean changed = asks ? mAsking.add(member) : mAsking.remove(member);
+        boolean changed = asks ? mCandidates.add(member) : mCandidates.remove(member);
         if (!asks) {
-            free(member);
+            release(member);
         }
         if (mMembers.put(member, nowMs) == null || changed) {
             mGeneration++;
             if (mRandom.nextInt(3) == 0) {
-                deal();
+                rebalance();
             }
         }
         if (mOwner.isEmpty() && asks) {
-            mOwner = mNext.isEmpty() ? member : mNext;
-            mNext = "";
+            mOwner = mNextOwner.isEmpty() ? member : mNextOwner;
+            mNextOwner = "";
             mGeneration++;
         }
-        boolean released = member.equals(mOwner) && !mNext.isEmpty() && generation >= mNextSince;
+        boolean released =
+                member.equals(mOwner)
+                        && !mNextOwner.isEmpty()
+                        && generation >= mNextOwnerGeneration;
         if (released) {
-            mOwner = mNext;
-            mNext = "";
+            mOwner = mNextOwner;
+            mNextOwner = "";
         }
-        boolean holds = member.equals(mOwner) && mNext.isEmpty();
+        boolean holds = member.equals(mOwner) && mNextOwner.isEmpty();
         return new Answer(mGeneration, holds, addresses());
     }
 
@@ -72,23 +75,23 @@
     void leave(String member) {
         mMembers.remove(member);
         mGeneration++;
-        free(member);
+        release(member);
     }
 
     /** Deals the partition anew. */
-    void deal() {
+    void rebalance() {
         if (mMembers.isEmpty()) {
             return;
         }
-        List<String> members = new ArrayList<>(mAsking);
+        List<String> members = new ArrayList<>(mCandidates);
         if (members.isEmpty()) {
             return;
         }
-        mNext = members.get(mRandom.nextInt(members.size()));
+        mNextOwner = members.get(mRandom.nextInt(members.size()));
         mGeneration++;
-        mNextSince = mGeneration;
-        if (mNext.equals(mOwner)) {
-            mNext = "";
+        mNextOwnerGeneration = mGeneration;
+        if (mNextOwner.equals(mOwner)) {
+            mNextOwner = "";
         }
     }
 
@@ -96,19 +99,19 @@
         for (String member : List.copyOf(mMembers.keySet())) {
             if (nowMs - mMembers.get(member) > LEASE_MS) {
                 mMembers.remove(member);
-                mAsking.remove(member);
+                mCandidates.remove(member);
                 mGeneration++;
-                free(member);
+                release(member);
             }
         }
     }
 
-    private void free(String member) {
+    private void release(String member) {
         if (member.equals(mOwner)) {
             mOwner = "";
         }
-        if (member.equals(mNext)) {
-            mNext = "";
+        if (member.equals(mNextOwner)) {
+            mNextOwner = "";
         }
     }
 }
--- a/core/src/test/java/org/boragegap/core/cell/FalseRefusalTest.java
+++ b/core/src/test/java/org/boragegap/core/cell/FalseRefusalTest.java
@@ -145,7 +145,7 @@
     @Nested
     final class OfTheEntryVm {
         private final PendingJobs mPendingJobs =
-                PendingJobs.create(new HeartbeatPace(), new ClockReading(0, 0));
+                PendingJobs.create(new HeartbeatTiming(), new ClockReading(0, 0));
         private final List<EntryAction> mActions = new ArrayList<>();
 
         private void on(long ms, EntryEvent event) {
--- a/core/src/test/java/org/boragegap/core/cell/Disturbances.java
+++ b/core/src/test/java/org/boragegap/core/cell/FaultRates.java
@@ -1,16 +1,16 @@
 package org.boragegap.core.cell;
 
 /** Shares, in percent, of what goes wrong on its way in a history at this moment. */
-final class Disturbances {
+final class FaultRates {
     /** Answers of targets that are lost. */
-    int mLost;
+    int mLostAnswers;
 
     /** Orders that are carried out seconds later, and not answered. */
-    int mLate;
+    int mLateOrders;
 
     /** Messages between entry VMs that are held up for a while. */
-    int mHeld;
+    int mLateMessages;
 
     /** Answers of targets that come some hundred ms late. */
-    int mSlow;
+    int mSlowAnswers;
 }
--- a/core/src/test/java/org/boragegap/core/cell/FollowersTest.java
+++ b/core/src/test/java/org/boragegap/core/cell/FollowersTest.java
@@ -15,29 +15,29 @@
     }
 
     @Test
-    void theOldestHeartbeatThatMostHaveAnsweredCounts() {
-        mFollowers.listed(Set.of("a", "b", "c", "d"), 0);
+    void theLatestHeartbeatAnsweredByAMajorityCounts() {
+        mFollowers.updatePeers(Set.of("a", "b", "c", "d"), 0);
         mFollowers.answered("a", true, at(300));
-        assertThat(mFollowers.vouched(at(400))).isEmpty();
+        assertThat(mFollowers.endorsed(at(400))).isEmpty();
         mFollowers.answered("b", true, at(150));
         mFollowers.answered("c", true, at(0));
-        assertThat(mFollowers.vouched(at(400))).hasValue(at(150));
+        assertThat(mFollowers.endorsed(at(400))).hasValue(at(150));
     }
 
     @Test
-    void aVmThatReachesTheStoreAgainExtendsNothingMore() {
-        mFollowers.listed(Set.of("a"), 0);
+    void aVmThatReachesTheStoreAgainEndorsesNoFurtherHeartbeat() {
+        mFollowers.updatePeers(Set.of("a"), 0);
         mFollowers.answered("a", true, at(100));
         mFollowers.answered("a", false, at(250));
-        assertThat(mFollowers.vouched(at(300))).hasValue(at(100));
+        assertThat(mFollowers.endorsed(at(300))).hasValue(at(100));
     }
 
     @Test
-    void anAnswerThatWasHeldUpDoesNotReplaceALaterOne() {
-        mFollowers.listed(Set.of("a"), 0);
+    void aDelayedAnswerDoesNotReplaceALaterOne() {
+        mFollowers.updatePeers(Set.of("a"), 0);
         mFollowers.answered("a", true, at(300));
         mFollowers.answered("a", true, at(150));
-        assertThat(mFollowers.vouched(at(400))).hasValue(at(300));
+        assertThat(mFollowers.endorsed(at(400))).hasValue(at(300));
     }
 
     /**
@@ -46,13 +46,13 @@
      * deals the cell to one of the other two. Three of six are not most.
      */
     @Test
-    void aVmThatWasListedJustNowStillCounts() {
-        mFollowers.listed(Set.of("a", "b", "c", "d", "e"), 0);
-        mFollowers.listed(Set.of("a", "b", "c", "d"), 2_000);
+    void aRecentlyDelistedVmStillCounts() {
+        mFollowers.updatePeers(Set.of("a", "b", "c", "d", "e"), 0);
+        mFollowers.updatePeers(Set.of("a", "b", "c", "d"), 2_000);
         mFollowers.answered("a", true, at(3_000));
         mFollowers.answered("b", true, at(3_000));
-        assertThat(mFollowers.vouched(at(3_100))).isEmpty();
-        mFollowers.listed(Set.of("a", "b", "c", "d"), 11_000);
-        assertThat(mFollowers.vouched(at(11_000))).isPresent();
+        assertThat(mFollowers.endorsed(at(3_100))).isEmpty();
+        mFollowers.updatePeers(Set.of("a", "b", "c", "d"), 11_000);
+        assertThat(mFollowers.endorsed(at(11_000))).isPresent();
     }
 }
--- a/core/src/test/java/org/boragegap/core/cell/MembershipTest.java
+++ b/core/src/test/java/org/boragegap/core/cell/MembershipTest.java
@@ -39,7 +39,7 @@
         }
 
         @Test
-        void aVmThatStopsTakesTheCellNoMore() {
+        void aResignedVmTakesTheCellNoMore() {
             join(3, true, 0);
             mMembership.resign();
             join(4, true, 250);
@@ -51,12 +51,12 @@
          * anew, and named the same holder again 20 ms later.
          */
         @Test
-        void aTermGoesOnWhenTheCellIsDealtBackAtOnce() {
+        void aTermContinuesWhenTheCellIsReassignedToItsHolder() {
             join(3, true, 0);
             long fence = mMembership.fence().get();
             join(4, false, 250);
             assertThat(mMembership.fence()).hasValue(fence);
-            assertThat(mMembership.actsUntilMs(at(255))).isEqualTo(LEASE_MS);
+            assertThat(mMembership.exclusiveUntilMs(at(255))).isEqualTo(LEASE_MS);
             join(5, true, 270);
             assertThat(mMembership.fence()).hasValue(fence);
         }
@@ -70,7 +70,7 @@
     }
 
     @Nested
-    final class Lapses {
+    final class Expiry {
         @Test
         void aTermEndsWithTheMembership() {
             join(3, true, 0);
@@ -82,7 +82,7 @@
 
         /** The store is away for most: nobody else can be given the cell, work goes on. */
         @Test
-        void aTermOutlastsAnOutageOfTheStoreForAll() {
+        void aTermOutlastsAStoreOutageThatAffectsAll() {
             join(3, true, 0);
             mMembership.tick(at(5_000), Optional.of(at(4_900)));
             assertThat(mMembership.fence()).isPresent();
@@ -97,7 +97,7 @@
         void aTermWithoutTheStoreEndsALeaseAfterTheLastAnsweredHeartbeat() {
             join(3, true, 0);
             mMembership.tick(at(5_000), Optional.of(at(4_900)));
-            assertThat(mMembership.actsUntilMs(at(5_000))).isEqualTo(4_900 + LEASE_MS);
+            assertThat(mMembership.exclusiveUntilMs(at(5_000))).isEqualTo(4_900 + LEASE_MS);
             mMembership.tick(at(4_900 + LEASE_MS + 1), Optional.of(at(4_900)));
             assertThat(mMembership.fence()).isEmpty();
         }
@@ -108,20 +108,20 @@
          * VM all the while.
          */
         @Test
-        void aTermGoesOnWhileTheStoreDealsTheCellAnew() {
+        void aTermContinuesWhileTheGroupRebalances() {
             join(3, true, 0);
             mMembership.tick(at(5_000), Optional.of(at(4_900)));
             long fence = mMembership.fence().get();
             join(8, false, 5_010);
             assertThat(mMembership.fence()).hasValue(fence);
-            assertThat(mMembership.actsUntilMs(at(5_015))).isEqualTo(4_900 + LEASE_MS);
+            assertThat(mMembership.exclusiveUntilMs(at(5_015))).isEqualTo(4_900 + LEASE_MS);
             join(9, true, 5_030);
             assertThat(mMembership.fence()).hasValue(fence);
         }
 
         /** The group has given the cell to another VM, and the others' word is over. */
         @Test
-        void aTermEndsWhenItIsDealtAwayAndNobodyVouches() {
+        void aTermEndsWhenTheCellIsReassignedAndNoEndorsementLasts() {
             join(3, true, 0);
             mMembership.tick(at(5_000), Optional.of(at(4_900)));
             join(8, false, 5_010);
@@ -131,11 +131,11 @@
 
         /** Paused since that heartbeat: the others may have found another controller meanwhile. */
         @Test
-        void anAnswerFromBeforeAPauseIsWorthNothing() {
+        void anAnswerFromBeforeAPauseGrantsNothing() {
             join(3, true, 0);
             ClockReading awake = new ClockReading(5_000, 8_000);
             mMembership.tick(awake, Optional.of(at(4_900)));
-            assertThat(mMembership.actsUntilMs(awake)).isAtMost(awake.monotonicMs());
+            assertThat(mMembership.exclusiveUntilMs(awake)).isAtMost(awake.monotonicMs());
         }
 
         /**
@@ -143,12 +143,12 @@
          * has the cell by then, so nothing may be started before the group has answered.
          */
         @Test
-        void aPausedProcessIsSureOfNothing() {
+        void aPausedProcessHasNoAuthority() {
             join(3, true, 0);
             ClockReading awake = new ClockReading(100, 2_100);
-            assertThat(mMembership.actsUntilMs(awake)).isAtMost(awake.monotonicMs());
+            assertThat(mMembership.exclusiveUntilMs(awake)).isAtMost(awake.monotonicMs());
             mMembership.joined(3, true, awake, awake);
-            assertThat(mMembership.actsUntilMs(awake)).isGreaterThan(awake.monotonicMs());
+            assertThat(mMembership.exclusiveUntilMs(awake)).isGreaterThan(awake.monotonicMs());
         }
 
         /**
@@ -156,12 +156,12 @@
          * VM that takes the cell on its return must not vouch for there having been no outage.
          */
         @Test
-        void aVmThatSawAShortOutageIsNotSteady() {
+        void aShortOutageIsNoticed() {
             for (long ms = 0; ms <= 3_000; ms += 250) {
                 join(3, false, ms);
             }
             join(3, false, 3_000 + LEASE_MS - 50);
-            assertThat(mMembership.steady(at(3_000 + LEASE_MS))).isFalse();
+            assertThat(mMembership.sawNoOutage(at(3_000 + LEASE_MS))).isFalse();
         }
 
         /**
@@ -170,33 +170,33 @@
          * it; that life ended before this one began.
          */
         @Test
-        void aProcessIsSteadyALeaseAfterItBegan() {
+        void aNewProcessRulesOutAnOutageAfterALease() {
             for (long ms = 700; ms <= LEASE_MS; ms += 100) {
                 join(3, false, ms);
             }
-            assertThat(mMembership.steady(at(LEASE_MS + 50))).isFalse();
-            assertThat(mMembership.steady(at(LEASE_MS + 51))).isTrue();
+            assertThat(mMembership.sawNoOutage(at(LEASE_MS + 50))).isFalse();
+            assertThat(mMembership.sawNoOutage(at(LEASE_MS + 51))).isTrue();
         }
 
         /** Before its first join a process told a controller to go on; that one still may act. */
         @Test
-        void aProcessThatKeptAControllerInOfficeIsNotSteady() {
-            mMembership.vouched(at(800));
+        void endorsingAControllerCountsAsAnOutage() {
+            mMembership.endorsedController(at(800));
             join(3, false, 1_000);
-            assertThat(mMembership.steady(at(LEASE_MS + 51))).isFalse();
-            assertThat(mMembership.steady(at(800 + LEASE_MS + 50))).isFalse();
+            assertThat(mMembership.sawNoOutage(at(LEASE_MS + 51))).isFalse();
+            assertThat(mMembership.sawNoOutage(at(800 + LEASE_MS + 50))).isFalse();
         }
 
         /** Paused through an outage of the store, it must not vouch for there having been none. */
         @Test
-        void aVmThatWasPausedIsNotSteady() {
+        void aPauseCountsAsAnOutage() {
             for (long ms = 0; ms <= 3_000; ms += 250) {
                 join(3, false, ms);
             }
-            assertThat(mMembership.steady(at(3_100))).isTrue();
+            assertThat(mMembership.sawNoOutage(at(3_100))).isTrue();
             ClockReading awake = new ClockReading(3_300, 6_300);
             mMembership.joined(3, false, awake, awake);
-            assertThat(mMembership.steady(awake)).isFalse();
+            assertThat(mMembership.sawNoOutage(awake)).isFalse();
         }
     }
 }
--- a/core/src/test/java/org/boragegap/core/cell/Hops.java
+++ b/core/src/test/java/org/boragegap/core/cell/NetworkDelays.java
@@ -3,33 +3,35 @@
 import java.util.SplittableRandom;
 
 /** How long messages of a history are on their way, in ms. */
-final class Hops {
+final class NetworkDelays {
     private static final long SLOW_FROM_MS = 1_500;
     private static final long SLOW_UNTIL_MS = 9_000;
 
     /** Longest way to a slow store or back; the store is 85 times as slow as usual then. */
-    private static final int SLOW_WAY_MS = 170;
+    private static final int MAX_SLOW_DELAY_MS = 170;
 
     private final SplittableRandom mRandom;
     private boolean mStoreSlow;
 
-    Hops(SplittableRandom random) {
+    NetworkDelays(SplittableRandom random) {
         mRandom = random;
     }
 
     /** Makes the store slow for most of the history. */
-    void slowStore(SimulatedClock clock) {
+    void scheduleSlowStore(SimulatedClock clock) {
         clock.after(SLOW_FROM_MS, () -> mStoreSlow = true);
         clock.after(SLOW_UNTIL_MS, () -> mStoreSlow = false);
     }
 
     /** From one process to another. */
-    long hop() {
+    long peerMs() {
         return 1 + mRandom.nextInt(mRandom.nextInt(20) == 0 ? 60 : 4);
     }
 
     /** To the store or back. */
-    long storeHop() {
-        return mStoreSlow ? SLOW_WAY_MS / 2 + mRandom.nextInt(SLOW_WAY_MS / 2) : hop();
+    long storeMs() {
+        return mStoreSlow
+                ? MAX_SLOW_DELAY_MS / 2 + mRandom.nextInt(MAX_SLOW_DELAY_MS / 2)
+                : peerMs();
     }
 }
--- a/core/src/test/java/org/boragegap/core/cell/OfferNumbersTest.java
+++ b/core/src/test/java/org/boragegap/core/cell/OfferNumbersTest.java
@@ -36,7 +36,7 @@
 
         EntryVmProcess(long wallMs) {
             mNow = new ClockReading(10, wallMs);
-            mPendingJobs = PendingJobs.create(new HeartbeatPace(), mNow);
+            mPendingJobs = PendingJobs.create(new HeartbeatTiming(), mNow);
             on(new EntryEvent.ControllerHeard("vm1", 7));
         }
 
--- a/core/src/test/java/org/boragegap/core/cell/OrderTransport.java
+++ b/core/src/test/java/org/boragegap/core/cell/OrderTransport.java
@@ -11,16 +11,16 @@
 
     private final SimulatedClock mClock;
     private final SplittableRandom mRandom;
-    private final Hops mHops;
-    private final Disturbances mPercent;
+    private final NetworkDelays mHops;
+    private final FaultRates mPercent;
     private final FakePlatform mPlatform;
     private final InvariantChecker mInvariants;
 
     OrderTransport(
             SimulatedClock clock,
             SplittableRandom random,
-            Hops hops,
-            Disturbances percent,
+            NetworkDelays hops,
+            FaultRates percent,
             FakePlatform platform,
             InvariantChecker oracle) {
         mClock = clock;
@@ -43,15 +43,15 @@
      */
     void send(CellAction order, BooleanSupplier cut, Consumer<CellEvent> learn) {
         FakeTarget target = mPlatform.target(Orders.target(order).id());
-        boolean lost = chance(mPercent.mLost);
-        boolean late = chance(mPercent.mLate);
+        boolean lost = chance(mPercent.mLostAnswers);
+        boolean late = chance(mPercent.mLateOrders);
         long givenUpMs = ANSWER_TIMEOUT_MS + Orders.waitMs(order);
         mClock.after(givenUpMs, () -> learn.accept(Orders.unanswered(order)));
         if (target == null || cut.getAsBoolean()) {
             return;
         }
-        long delayMs = late ? 2_000 + mRandom.nextLong(4_000) : mHops.hop();
-        long backMs = chance(mPercent.mSlow) ? 50 + mRandom.nextLong(200) : mHops.hop();
+        long delayMs = late ? 2_000 + mRandom.nextLong(4_000) : mHops.peerMs();
+        long backMs = chance(mPercent.mSlowAnswers) ? 50 + mRandom.nextLong(200) : mHops.peerMs();
         Consumer<CellEvent> answer =
                 event -> {
                     if (!lost && !late && !cut.getAsBoolean()) {
--- a/core/src/test/java/org/boragegap/core/cell/PendingJobsTest.java
+++ b/core/src/test/java/org/boragegap/core/cell/PendingJobsTest.java
@@ -14,7 +14,7 @@
     private static final String OTHER_JOB = "00000000000000ab";
 
     private final PendingJobs mPendingJobs =
-            PendingJobs.create(new HeartbeatPace(), new ClockReading(0, 0));
+            PendingJobs.create(new HeartbeatTiming(), new ClockReading(0, 0));
     private long mNowMs = 1_000;
 
     private List<EntryAction> on(EntryEvent event) {
--- a/core/src/test/java/org/boragegap/core/cell/PredecessorsTest.java
+++ b/core/src/test/java/org/boragegap/core/cell/PredecessorsTest.java
@@ -18,36 +18,37 @@
     private static final long LISTED_MS = 9_610;
     private static final Set<String> PEERS = Set.of("vm2", "vm3");
 
-    private final Predecessors mBefore = new Predecessors();
+    private final Predecessors mPredecessors = new Predecessors();
 
-    private static CellMessage.Following answer(boolean steady, long ownFence, long endedAgoMs) {
-        return new CellMessage.Following(
+    private static CellMessage.HeartbeatReply answer(
+            boolean steady, long ownFence, long endedAgoMs) {
+        return new CellMessage.HeartbeatReply(
                 9_000, new ClockReading(0, 0), false, steady, ownFence, endedAgoMs, 0);
     }
 
-    private Knowledge knowledge(CellMessage.Following vm2, CellMessage.Following vm3) {
-        mBefore.membersListed(PEERS, LISTED_MS);
-        mBefore.answered("vm2", vm2);
-        mBefore.answered("vm3", vm3);
-        return mBefore.knowledge(PEERS, true, 10_000);
+    private Knowledge assess(CellMessage.HeartbeatReply vm2, CellMessage.HeartbeatReply vm3) {
+        mPredecessors.membersListed(PEERS, LISTED_MS);
+        mPredecessors.answered("vm2", vm2);
+        mPredecessors.answered("vm3", vm3);
+        return mPredecessors.assess(PEERS, true, 10_000);
     }
 
     @Nested
     final class MayStart {
         @Test
         void whenNobodyControlledTheCellLately() {
-            mBefore.termBegan(0, BEGAN_MS);
-            assertThat(knowledge(answer(true, 0, 0), answer(true, 5_000, 1_101)))
+            mPredecessors.termBegan(0, BEGAN_MS);
+            assertThat(assess(answer(true, 0, 0), answer(true, 5_000, 1_101)))
                     .isEqualTo(Knowledge.OVER);
         }
 
         /** The controller has just stopped as planned; its targets are known and are asked. */
         @Test
         void afterTheTargetsOfTheOneThatJustEndedHaveReported() {
-            mBefore.termBegan(LAST_TERM, BEGAN_MS);
-            Knowledge knowledge = knowledge(answer(true, LAST_TERM, 200), answer(true, 0, 0));
+            mPredecessors.termBegan(LAST_TERM, BEGAN_MS);
+            Knowledge knowledge = assess(answer(true, LAST_TERM, 200), answer(true, 0, 0));
             assertThat(knowledge).isEqualTo(Knowledge.TARGETS_KNOWN);
-            assertThat(knowledge.enough()).isTrue();
+            assertThat(knowledge.isSufficient()).isTrue();
         }
     }
 
@@ -56,22 +57,23 @@
      * had answered, though none of them can have controlled the cell since.
      */
     @Nested
-    final class WhoComesLater {
+    final class LaterMembers {
         private static final Set<String> WITH_NEWCOMERS = Set.of("vm2", "vm3", "vm4", "vm5");
 
         @Test
-        void isNotWaitedFor() {
-            mBefore.termBegan(0, BEGAN_MS);
-            knowledge(answer(true, 0, 0), answer(true, 0, 0));
-            assertThat(mBefore.knowledge(WITH_NEWCOMERS, true, 10_000)).isEqualTo(Knowledge.OVER);
+        void areNotWaitedFor() {
+            mPredecessors.termBegan(0, BEGAN_MS);
+            assess(answer(true, 0, 0), answer(true, 0, 0));
+            assertThat(mPredecessors.assess(WITH_NEWCOMERS, true, 10_000))
+                    .isEqualTo(Knowledge.OVER);
         }
 
         @Test
-        void countsIfItAnswersThatItHasKeptAControllerInOffice() {
-            mBefore.termBegan(0, BEGAN_MS);
-            knowledge(answer(true, 0, 0), answer(false, 0, 0));
-            mBefore.answered("vm4", answer(false, 0, 0));
-            assertThat(mBefore.knowledge(WITH_NEWCOMERS, true, 10_000))
+        void countIfTheyReportAnOutage() {
+            mPredecessors.termBegan(0, BEGAN_MS);
+            assess(answer(true, 0, 0), answer(false, 0, 0));
+            mPredecessors.answered("vm4", answer(false, 0, 0));
+            assertThat(mPredecessors.assess(WITH_NEWCOMERS, true, 10_000))
                     .isEqualTo(Knowledge.STORE_WAS_AWAY);
         }
     }
@@ -80,54 +82,57 @@
     final class HasToWait {
         @Test
         void untilAllHaveAnswered() {
-            mBefore.termBegan(LAST_TERM, BEGAN_MS);
-            mBefore.membersListed(PEERS, LISTED_MS);
-            mBefore.answered("vm2", answer(true, 0, 0));
-            assertThat(mBefore.knowledge(PEERS, true, 10_000)).isEqualTo(Knowledge.AWAITS_ANSWERS);
+            mPredecessors.termBegan(LAST_TERM, BEGAN_MS);
+            mPredecessors.membersListed(PEERS, LISTED_MS);
+            mPredecessors.answered("vm2", answer(true, 0, 0));
+            assertThat(mPredecessors.assess(PEERS, true, 10_000))
+                    .isEqualTo(Knowledge.AWAITS_ANSWERS);
         }
 
         /** Asked for before the term began, it may lack who controlled the cell in between. */
         @Test
-        void forAReadingOfThisTerm() {
-            mBefore.termBegan(LAST_TERM, BEGAN_MS);
-            mBefore.membersListed(PEERS, BEGAN_MS - 1);
-            mBefore.answered("vm2", answer(true, 0, 0));
-            mBefore.answered("vm3", answer(true, 0, 0));
-            assertThat(mBefore.knowledge(PEERS, true, 10_000)).isEqualTo(Knowledge.AWAITS_ANSWERS);
+        void untilTheMembersAreReadInThisTerm() {
+            mPredecessors.termBegan(LAST_TERM, BEGAN_MS);
+            mPredecessors.membersListed(PEERS, BEGAN_MS - 1);
+            mPredecessors.answered("vm2", answer(true, 0, 0));
+            mPredecessors.answered("vm3", answer(true, 0, 0));
+            assertThat(mPredecessors.assess(PEERS, true, 10_000))
+                    .isEqualTo(Knowledge.AWAITS_ANSWERS);
         }
 
         /** One that ended just now had targets that this VM was not told of. */
         @Test
         void whileALaterTermsTargetsAreUnknown() {
-            mBefore.termBegan(LAST_TERM, BEGAN_MS);
-            assertThat(knowledge(answer(true, 8_000, 200), answer(true, 0, 0)))
+            mPredecessors.termBegan(LAST_TERM, BEGAN_MS);
+            assertThat(assess(answer(true, 8_000, 200), answer(true, 0, 0)))
                     .isEqualTo(Knowledge.TARGETS_UNKNOWN);
         }
 
         @Test
-        void whileMostMayHaveKeptAControllerInOffice() {
-            mBefore.termBegan(LAST_TERM, BEGAN_MS);
-            assertThat(knowledge(answer(false, 0, 0), answer(false, 0, 0)))
+        void whileAMajorityMayHaveEndorsedAController() {
+            mPredecessors.termBegan(LAST_TERM, BEGAN_MS);
+            assertThat(assess(answer(false, 0, 0), answer(false, 0, 0)))
                     .isEqualTo(Knowledge.STORE_WAS_AWAY);
         }
 
         /** Answers that were given to an earlier term of this VM say nothing of this one. */
         @Test
         void forAnswersToThisTerm() {
-            mBefore.termBegan(LAST_TERM, BEGAN_MS);
-            knowledge(answer(true, 0, 0), answer(true, 0, 0));
-            mBefore.termBegan(LAST_TERM, BEGAN_MS);
-            mBefore.membersListed(PEERS, LISTED_MS);
-            assertThat(mBefore.knowledge(PEERS, true, 10_000)).isEqualTo(Knowledge.AWAITS_ANSWERS);
+            mPredecessors.termBegan(LAST_TERM, BEGAN_MS);
+            assess(answer(true, 0, 0), answer(true, 0, 0));
+            mPredecessors.termBegan(LAST_TERM, BEGAN_MS);
+            mPredecessors.membersListed(PEERS, LISTED_MS);
+            assertThat(mPredecessors.assess(PEERS, true, 10_000))
+                    .isEqualTo(Knowledge.AWAITS_ANSWERS);
         }
     }
 
     @Test
     void itsOwnLastTermCountsToo() {
-        mBefore.ownTermEnded(LAST_TERM, 9_500);
-        assertThat(mBefore.ownOver(10_000)).isFalse();
-        mBefore.termBegan(0, BEGAN_MS);
-        assertThat(knowledge(answer(true, 0, 0), answer(true, 0, 0)))
+        mPredecessors.ownTermEnded(LAST_TERM, 9_500);
+        assertThat(mPredecessors.ownLeasesExpired(10_000)).isFalse();
+        mPredecessors.termBegan(0, BEGAN_MS);
+        assertThat(assess(answer(true, 0, 0), answer(true, 0, 0)))
                 .isEqualTo(Knowledge.TARGETS_UNKNOWN);
     }
 }
--- a/core/src/test/java/org/boragegap/core/cell/ReportedAbsenceTest.java
+++ b/core/src/test/java/org/boragegap/core/cell/ReportedAbsenceTest.java
@@ -23,7 +23,7 @@
     private final ScriptedCell mCell = new ScriptedCell();
 
     @BeforeEach
-    void operatorsWantNothingEmptied() {
+    void evacuateNothing() {
         mCell.evacuate(0);
     }
 
@@ -68,7 +68,7 @@
         }
 
         @Test
-        void itsEndIsHeardOfInTheNextReport() {
+        void itsEndIsInTheNextReport() {
             report(30, List.of(), endsOfOthers(LISTED_AT_A_TIME));
             report(40, List.of(), List.of(done(LISTED_AT_A_TIME + 1, mStart.run())));
             assertThat(mCell.verdicts()).containsExactly(new Verdict.Completed());
@@ -76,7 +76,7 @@
 
         /** Guards against a task that waits for good for a run that its target doesn't have. */
         @Test
-        void aReportOfAllEndsProvesIt() {
+        void aReportOfAllEndsProvesAbsence() {
             report(30, List.of(), endsOfOthers(LISTED_AT_A_TIME));
             report(40, List.of(), List.of());
             mCell.ticks(50, 200);
--- a/core/src/test/java/org/boragegap/core/cell/TermCount.java
+++ b/core/src/test/java/org/boragegap/core/cell/TermStatistics.java
@@ -4,35 +4,35 @@
 import java.util.List;
 
 /** Counts the terms of a cell, and how often it went from one VM to another. */
-final class TermCount {
+final class TermStatistics {
     private String mLastController = "";
-    private final List<Long> mAskedMs = new ArrayList<>();
+    private final List<Long> mCandidaciesMs = new ArrayList<>();
     private int mTerms;
-    private int mChangesOfHands;
+    private int mControllerChanges;
 
-    void began(String controller) {
+    void recordTerm(String controller) {
         mTerms++;
         if (!mLastController.isEmpty() && !mLastController.equals(controller)) {
-            mChangesOfHands++;
+            mControllerChanges++;
         }
         mLastController = controller;
     }
 
     /** A VM asks for the cell. */
-    void asked(long nowMs) {
-        mAskedMs.add(nowMs);
+    void recordCandidacy(long nowMs) {
+        mCandidaciesMs.add(nowMs);
     }
 
     /** How often a VM asked for the cell from a time on. */
-    long askedSince(long ms) {
-        return mAskedMs.stream().filter(at -> at >= ms).count();
+    long candidaciesSince(long ms) {
+        return mCandidaciesMs.stream().filter(at -> at >= ms).count();
     }
 
     int count() {
         return mTerms;
     }
 
-    int changesOfHands() {
-        return mChangesOfHands;
+    int controllerChanges() {
+        return mControllerChanges;
     }
 }
--- a/entry/src/main/java/org/boragegap/entry/cell/CellControl.java
+++ b/entry/src/main/java/org/boragegap/entry/cell/CellControl.java
@@ -31,7 +31,7 @@
 
     /** True when timeouts of some ten ms are to be watched over. */
     boolean busy() {
-        return mMember.busy();
+        return mMember.needsShortTicks();
     }
 
     /** Time between two ticks while it isn't busy, in ms. */
@@ -50,7 +50,7 @@
 
     /** Time has passed; a cell without anything that can't wait is ticked less often. */
     void tick(long nowMs) {
-        if (mMember.busy() || nowMs - mTickedMs >= mMember.idleTickMs()) {
+        if (mMember.needsShortTicks() || nowMs - mTickedMs >= mMember.idleTickMs()) {
             mTickedMs = nowMs;
             on(new MemberEvent.Ticked());
         }
@@ -60,7 +60,7 @@
         List<MemberAction> actions = new ArrayList<>();
         mMember.on(event, ControlThread.clock(), actions);
         mWantsCell = mMember.wantsCell();
-        mServesCallers = mMember.servesCallers(ControlThread.clock());
+        mServesCallers = mMember.canServeCallers(ControlThread.clock());
         actions.forEach(this::run);
     }
 
@@ -81,11 +81,11 @@
             run(order.order());
         } else if (action instanceof MemberAction.Reply reply) {
             mOutput.reply(reply.reply());
-        } else if (action instanceof MemberAction.FollowTargets follow) {
-            mOutput.followTargets(follow.follow());
+        } else if (action instanceof MemberAction.WatchTargets follow) {
+            mOutput.followTargets(follow.watch());
         } else if (action instanceof MemberAction.ReadMembers) {
             mOutput.readMembers();
-        } else if (action instanceof MemberAction.JoinAgain) {
+        } else if (action instanceof MemberAction.Rejoin) {
             mOutput.joinAgain();
         } else if (action instanceof MemberAction.Log log) {
             DecisionLog.write(log.decision());
--- a/entry/src/main/java/org/boragegap/entry/cell/CellMetrics.java
+++ b/entry/src/main/java/org/boragegap/entry/cell/CellMetrics.java
@@ -40,7 +40,7 @@
         }
         gauge("boragegap.control.fence", CellState::fence);
         gauge("boragegap.control.targets", CellState::targets);
-        gauge("boragegap.control.targets.open", CellState::open);
+        gauge("boragegap.control.targets.open", CellState::schedulable);
         gauge("boragegap.control.jobs", CellState::jobs);
         gauge("boragegap.control.runs", CellState::runs);
         Gauge.builder("boragegap.callers.waiting", this, m -> m.mWaiting).register(mRegistry);
--- a/entry/src/main/java/org/boragegap/entry/cell/CellNode.java
+++ b/entry/src/main/java/org/boragegap/entry/cell/CellNode.java
@@ -225,7 +225,7 @@
                                     began.monotonicMs(),
                                     cell -> control(cell, layout, cpuMillis, began));
                     mEvacuated.ifPresent(mCells::evacuated);
-                    mTimer.execute(() -> mGroup.atLeast(layout.leastLeaseMs()));
+                    mTimer.execute(() -> mGroup.atLeast(layout.minLeaseMs()));
                     mTimer.execute(mGroup::start);
                     mTimer.execute(mGroup::join);
                 });
@@ -237,7 +237,7 @@
                         mSettings.number(Setting.TARGET_LEASE_MS),
                         mSettings.decimal(Setting.FAR_FACTOR));
         long grantedMs = mSettings.number(Setting.GROUP_LEASE_MS);
-        long leaseMs = Math.max(grantedMs, layout.leastLeaseMs());
+        long leaseMs = Math.max(grantedMs, layout.minLeaseMs());
         CellMember member = CellMember.create(mSelf, cell, settings, leaseMs, began);
         member.deployment(layout.cells(), cpuMillis);
         return new CellControl(member, new Output(cell));
@@ -325,7 +325,7 @@
     /** Takes no more callers, and looks until those that wait are answered. */
     private void close() {
         sLog.info("draining: takes no more callers");
-        mThread.post(() -> mCells.onAll(new MemberEvent.Closed()));
+        mThread.post(() -> mCells.onAll(new MemberEvent.Draining()));
         mTimer.scheduleWithFixedDelay(
                 this::lookDrained, DRAIN_LOOK_MS, DRAIN_LOOK_MS, TimeUnit.MILLISECONDS);
     }
--- a/entry/src/main/java/org/boragegap/entry/cell/CellPeers.java
+++ b/entry/src/main/java/org/boragegap/entry/cell/CellPeers.java
@@ -75,7 +75,7 @@
             if (mFrame.message() != message) {
                 mFrame = new PeerMessage.Cell(mSelf, mCell, message);
             }
-            mOutbox.add(address, message instanceof CellMessage.Following, mFrame);
+            mOutbox.add(address, message instanceof CellMessage.HeartbeatReply, mFrame);
         }
     }
 
--- a/entry/src/main/java/org/boragegap/entry/cell/Cells.java
+++ b/entry/src/main/java/org/boragegap/entry/cell/Cells.java
@@ -90,7 +90,7 @@
     }
 
     void on(int cell, EntryEvent event) {
-        on(cell, new MemberEvent.ForDesk(event));
+        on(cell, new MemberEvent.ForPendingJobs(event));
     }
 
     /** Passes an event on to all cells. */
--- a/entry/src/test/java/org/boragegap/entry/cell/OutboxTest.java
+++ b/entry/src/test/java/org/boragegap/entry/cell/OutboxTest.java
@@ -23,7 +23,7 @@
             new Outbox((address, back, frame) -> mSent.add(new Sent(address, back, frame)));
 
     private static PeerMessage.Cell missing(int cell) {
-        return new PeerMessage.Cell("vm1", cell, new CellMessage.Missing(7, 1_500));
+        return new PeerMessage.Cell("vm1", cell, new CellMessage.ControllerMissing(7, 1_500));
     }
 
     @Test
@@ -71,7 +71,7 @@
 
     @Test
     void aFrameOfSeveralMessagesIsReadAgain() throws Exception {
-        CellMessage.Leading leading = new CellMessage.Leading(9, new ClockReading(5, 6), 150);
+        CellMessage.Heartbeat leading = new CellMessage.Heartbeat(9, new ClockReading(5, 6), 150);
         PeerMessage.Batch batch =
                 new PeerMessage.Batch(List.of(missing(0), new PeerMessage.Cell("a", 3, leading)));
         PeerCodec codec = PeerCodec.create();
--- a/wire/src/main/java/org/boragegap/wire/CellFields.java
+++ b/wire/src/main/java/org/boragegap/wire/CellFields.java
@@ -61,10 +61,10 @@
                     unpacker.unpackString(), unpacker.unpackLong(), VerdictFields.unpack(unpacker));
         }
     },
-    LEADING(CellMessage.Leading.class) {
+    LEADING(CellMessage.Heartbeat.class) {
         @Override
         void packFields(MessagePacker packer, CellMessage message) throws IOException {
-            CellMessage.Leading leading = (CellMessage.Leading) message;
+            CellMessage.Heartbeat leading = (CellMessage.Heartbeat) message;
             packer.packLong(leading.fence());
             RecordFields.packClock(packer, leading.sent());
             packer.packLong(leading.periodMs());
@@ -72,7 +72,7 @@
 
         @Override
         CellMessage unpack(MessageUnpacker unpacker) throws IOException {
-            return new CellMessage.Leading(
+            return new CellMessage.Heartbeat(
                     unpacker.unpackLong(),
                     RecordFields.unpackClock(unpacker),
                     unpacker.unpackLong());
@@ -89,16 +89,16 @@
             return new CellMessage.Leaving(unpacker.unpackLong());
         }
     },
-    MISSING(CellMessage.Missing.class) {
+    MISSING(CellMessage.ControllerMissing.class) {
         @Override
         void packFields(MessagePacker packer, CellMessage message) throws IOException {
-            CellMessage.Missing missing = (CellMessage.Missing) message;
+            CellMessage.ControllerMissing missing = (CellMessage.ControllerMissing) message;
             packer.packLong(missing.fence()).packInt(missing.strength());
         }
 
         @Override
         CellMessage unpack(MessageUnpacker unpacker) throws IOException {
-            return new CellMessage.Missing(unpacker.unpackLong(), unpacker.unpackInt());
+            return new CellMessage.ControllerMissing(unpacker.unpackLong(), unpacker.unpackInt());
         }
     },
     TARGETS(CellMessage.Targets.class) {
@@ -148,20 +148,20 @@
             return all[number];
         }
     },
-    FOLLOWING(CellMessage.Following.class) {
+    FOLLOWING(CellMessage.HeartbeatReply.class) {
         @Override
         void packFields(MessagePacker packer, CellMessage message) throws IOException {
-            CellMessage.Following following = (CellMessage.Following) message;
+            CellMessage.HeartbeatReply following = (CellMessage.HeartbeatReply) message;
             packer.packLong(following.fence());
             RecordFields.packClock(packer, following.heartbeat());
-            packer.packBoolean(following.cutOff()).packBoolean(following.steady());
-            packer.packLong(following.ownFence()).packLong(following.endedAgoMs());
+            packer.packBoolean(following.storeSilent()).packBoolean(following.sawNoOutage());
+            packer.packLong(following.lastOwnFence()).packLong(following.endedAgoMs());
             packer.packLong(following.targetsVersion());
         }
 
         @Override
         CellMessage unpack(MessageUnpacker unpacker) throws IOException {
-            return new CellMessage.Following(
+            return new CellMessage.HeartbeatReply(
                     unpacker.unpackLong(),
                     RecordFields.unpackClock(unpacker),
                     unpacker.unpackBoolean(),
--- a/wire/src/test/java/org/boragegap/wire/PeerCodecProperties.java
+++ b/wire/src/test/java/org/boragegap/wire/PeerCodecProperties.java
@@ -94,14 +94,14 @@
                         new CellMessage.Decided(text, number, new Verdict.Failed(text)),
                         new CellMessage.Decided(text, 1, new Verdict.Declined(text, number)),
                         new CellMessage.Decided(text, number, new Verdict.InDoubt(text)),
-                        new CellMessage.Leading(number, clock, 150),
+                        new CellMessage.Heartbeat(number, clock, 150),
                         new CellMessage.Leaving(number),
-                        new CellMessage.Missing(number, count),
+                        new CellMessage.ControllerMissing(number, count),
                         new CellMessage.Targets(number, 1, List.of(target, target)),
                         new CellMessage.Crashed(task, text, CrashEvidence.CONFIRMED),
                         new CellMessage.Crashed(task, text, CrashEvidence.POSSIBLE),
                         new CellMessage.Crashed(task, text, CrashEvidence.COINCIDENT),
-                        new CellMessage.Following(number, clock, flag, !flag, 1, number, 3));
+                        new CellMessage.HeartbeatReply(number, clock, flag, !flag, 1, number, 3));
         List<PeerMessage.Cell> cells =
                 messages.stream().map(one -> new PeerMessage.Cell("h:1", count, one)).toList();
         for (PeerMessage.Cell cell : cells) {
