--- a/core/src/main/java/org/boragegap/core/cell/CorrelatedLossDetector.java
+++ b/core/src/main/java/org/boragegap/core/cell/CorrelatedLossDetector.java
@@ -6,16 +6,16 @@
 import java.util.Set;
 
 /**
- * Tells whether a target was lost by itself, or together with others.
+ * Determines whether a target was lost alone or together with others.
  *
- * <p>Guards against tasks that are suspected after the loss of a rack or the restart of many
- * targets: each of them would be given a target for itself.
+ * <p>Guards against suspecting tasks after the loss of a rack or the restart of many targets: each
+ * suspect task would be given a target of its own.
  */
 final class CorrelatedLossDetector {
-    /** So many other targets lost in the same moment have a common cause outside the task. */
+    /** This many other targets lost at the same time have a common cause outside the task. */
     private static final int MIN_CORRELATED_TARGETS = 3;
 
-    /** What is found lost within this time of each other, in ms, was lost in the same moment. */
+    /** Targets found lost within this time of each other, in ms, count as lost at the same time. */
     private static final long CORRELATION_WINDOW_MS = 1_000;
 
     private record Loss(Set<String> jobs, long atMs) {}
@@ -27,7 +27,7 @@
         mTerm = term;
     }
 
-    /** Notes the loss of a target; one whose leases were found to be over was noted then. */
+    /** Records the loss of a target; if its leases had expired before, it was recorded then. */
     void targetLost(Target target) {
         if (target.lost()) {
             return;
@@ -40,9 +40,9 @@
     }
 
     /**
-     * True when enough other targets were lost in the same moment, or are silent, to tell of a
-     * cause outside the run's task. Those with tasks of its own job don't count: the job may crash
-     * them all.
+     * True when enough other targets were lost at the same time, or are unresponsive, to indicate a
+     * cause outside the run's task. Targets with tasks of the same job don't count: the job may
+     * crash them all.
      */
     boolean isCorrelated(LostRun run) {
         String job = run.task().job();
@@ -65,7 +65,9 @@
         return others >= MIN_CORRELATED_TARGETS;
     }
 
-    /** True for a target that was heard of in this term, and whose leases are not over yet. */
+    /**
+     * True for an unresponsive target that has reported in this term and is not marked as lost yet.
+     */
     private static boolean becameUnresponsive(Target target) {
         return target.reported() && !target.lost() && target.calls().unresponsive();
     }
--- a/core/src/main/java/org/boragegap/core/cell/CrashDetector.java
+++ b/core/src/main/java/org/boragegap/core/cell/CrashDetector.java
@@ -3,7 +3,10 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Notes in one term which targets have crashed under which tasks, and gives such tasks up. */
+/**
+ * Detects in one term which targets crashed while running which tasks, and ends the jobs of tasks
+ * that have reached a crash limit.
+ */
 final class CrashDetector {
     private final Term mTerm;
     private final CrashHistory mHistory;
@@ -16,12 +19,15 @@
         mLossDetector = new CorrelatedLossDetector(term);
     }
 
-    /** Connects what depends on each other; to be called once, before use. */
+    /** Sets the collaborator that depends on this object in turn; to be called once, before use. */
     void connect(JobLifecycle jobs) {
         mJobs = jobs;
     }
 
-    /** The leases of what runs on the target are over; one that was leaving has left. */
+    /**
+     * Called when the leases of the runs on the target have expired. A target that was draining has
+     * left and is not recorded.
+     */
     void recordLeaseExpiry(Target target) {
         if (target.info().draining()) {
             return;
@@ -30,9 +36,9 @@
     }
 
     /**
-     * Notes that a target was found lost, before its runs are released.
+     * Records that a target was found lost, before its runs are released.
      *
-     * @return what was at work there, or may have been
+     * @return the runs that were active there, or may have been
      */
     List<LostRun> recordLoss(Target target) {
         mLossDetector.targetLost(target);
@@ -41,29 +47,32 @@
                 .toList();
     }
 
-    /** The target has answered; what lapsed on it did so for another cause than a crash. */
+    /**
+     * Called when the target has answered; if its leases had expired, a crash was not the cause.
+     */
     void targetAnswered(Target target) {
         mHistory.targetAnswered(target.id());
     }
 
     /**
-     * Another incarnation has answered in the place of this one. One that was leaving has left; any
-     * other has crashed.
+     * Called when another incarnation has answered in place of this one. A target that was draining
+     * has left; any other has crashed.
      *
-     * @param runs what was lost with it
+     * @param runs the runs that were lost with it
      */
-    void targetReplaced(TargetInfo gone, List<LostRun> runs) {
-        List<LostRun> lapsed = mHistory.takeExpired(gone.id(), mTerm.nowMs());
-        if (!gone.draining()) {
+    void targetReplaced(TargetInfo replaced, List<LostRun> runs) {
+        List<LostRun> expired = mHistory.takeExpired(replaced.id(), mTerm.nowMs());
+        if (!replaced.draining()) {
             recordCrashes(runs, "replaced");
-            recordCrashes(lapsed, "lapsed, then replaced");
+            recordCrashes(expired, "lease expired, then replaced");
         }
     }
 
-    /** A target was listed that wasn't before. */
+    /** Called when a target is listed that was not listed before. */
     void newTargetListed(TargetInfo target) {
         recordCrashes(
-                mHistory.takeExpiredPredecessors(target, mTerm.nowMs()), "lapsed, then listed");
+                mHistory.takeExpiredPredecessors(target, mTerm.nowMs()),
+                "lease expired, then successor listed");
     }
 
     private void recordCrashes(List<LostRun> runs, String found) {
@@ -76,7 +85,7 @@
         }
     }
 
-    /** More is known of crashes under the task. */
+    /** Called when a crash of a target that ran the task has been recorded. */
     void crashReported(TaskName task) {
         CellJob job = mTerm.jobs().get(task.job());
         if (job != null) {
@@ -84,7 +93,7 @@
         }
     }
 
-    private void logCrash(LostRun run, int beside, String found, boolean givenUp) {
+    private void logCrash(LostRun run, int otherRuns, String found, boolean limitReached) {
         String inputs =
                 "crashes="
                         + mHistory.crashCount(run.task())
@@ -95,16 +104,18 @@
                         + " ordered_ms="
                         + (mTerm.nowMs() - run.orderedMs())
                         + " ran_beside="
-                        + beside
+                        + otherRuns
                         + " found="
                         + found;
-        String apart = mHistory.isSuspect(run.task()) ? "runs apart from now on" : "not suspected";
-        String outcome = givenUp ? "given up" : apart;
+        String suspicion =
+                mHistory.isSuspect(run.task()) ? "runs alone from now on" : "not suspected";
+        String outcome = limitReached ? "not started again" : suspicion;
         mTerm.log(Decision.run("crash", run.task(), run.target(), inputs, outcome));
     }
 
     /**
-     * Ends the job of a task that would have to start again, but is started no more; true if so.
+     * Ends the job of an idle task that has reached a crash limit and is not started again; returns
+     * true if so.
      */
     boolean endJobIfCrashLimitReached(CellTask task) {
         Optional<Verdict> verdict = task.idle() ? verdictOn(task.name()) : Optional.empty();
@@ -112,7 +123,9 @@
         return verdict.isPresent();
     }
 
-    /** The verdict on a job one of whose tasks is started no more; empty if there is none. */
+    /**
+     * The verdict on a job one of whose idle tasks has reached a crash limit; empty if none has.
+     */
     Optional<Verdict> verdictOn(CellJob job) {
         return job.tasks().stream()
                 .filter(CellTask::idle)
--- a/core/src/main/java/org/boragegap/core/cell/CrashEvidence.java
+++ b/core/src/main/java/org/boragegap/core/cell/CrashEvidence.java
@@ -2,18 +2,20 @@
 
 import java.util.Optional;
 
-/** How surely a task was at work on a target when the target crashed. */
+/** How certain it is that a task was running on a target when the target crashed. */
 public enum CrashEvidence {
-    /** Other targets without a task of its job were lost in the same moment. */
+    /** Other targets, which ran no task of its job, were lost at the same time. */
     COINCIDENT,
-    /** Nobody knows: its order got no answer, or its end may have gone unheard. */
+    /**
+     * Unknown: the start order was not answered, or the end of the run may have gone unreported.
+     */
     POSSIBLE,
-    /** The target had confirmed the run, and nobody had asked to stop it. */
+    /** The target had confirmed the run, and no stop had been requested. */
     CONFIRMED;
 
     /**
-     * What a run that is lost with its target says; empty while the answer to its order is under
-     * way: it may never have been taken.
+     * The evidence given by a run that is lost with its target; empty while the answer to its start
+     * order is pending, since the target may never have accepted the order.
      */
     static Optional<CrashEvidence> of(Run run) {
         return switch (run.state()) {
@@ -23,12 +25,12 @@
         };
     }
 
-    /** True when the task is more likely to have crashed the target than anything else. */
+    /** True when the task is more likely than anything else to have crashed the target. */
     boolean implicatesTask() {
         return this != COINCIDENT;
     }
 
-    /** The stronger of two. */
+    /** The stronger of the two. */
     CrashEvidence stronger(CrashEvidence other) {
         return compareTo(other) >= 0 ? this : other;
     }
--- a/core/src/main/java/org/boragegap/core/cell/CrashHistory.java
+++ b/core/src/main/java/org/boragegap/core/cell/CrashHistory.java
@@ -12,43 +12,48 @@
 import java.util.Set;
 
 /**
- * Knows, by task, the targets that have crashed while it was at work there, or may have been.
- * Outlives the terms of a controller.
+ * Records, by task, the targets that crashed while the task was running there, or may have been
+ * running. Kept across the terms of a controller.
  *
- * <p>Guards against a task that crashes whatever starts it. Each start costs the cell a target for
- * some seconds, and the caller hands the job in again when its time is over; unnoticed, one such
- * job takes down a target a second.
+ * <p>Guards against a task that crashes every target that starts it. Each start takes a target out
+ * of service for some seconds, and the caller submits the job again after its timeout; undetected,
+ * one such job takes down a target a second.
  *
- * <p>A lapse proves no crash: the target may be beyond a cut and run on. What had run there is kept
- * until another incarnation answers at that address, or the same one is heard of again.
+ * <p>An expired lease proves no crash: the target may be cut off by a network partition and keep
+ * running. What ran there is kept until another incarnation appears at that address, or the same
+ * one answers again.
  */
 final class CrashHistory {
-    /** Confirmed crashes after which a task is started no more: one may have had another cause. */
+    /**
+     * Confirmed crashes after which a task is not started again; a single one may have had another
+     * cause.
+     */
     private static final int CONFIRMED_CRASH_LIMIT = 2;
 
     /**
-     * Crashes of any evidence after which it is started no more either, with the targets that have
-     * lapsed under it and were not heard of since. A task may crash its target before the order to
-     * start it is answered, and the successor may be seen late, or in another cell.
+     * Crashes of any evidence after which a task is not started again either. Targets whose leases
+     * expired while they ran the task, and that have not answered since, count as well. A task may
+     * crash its target before the start order is answered, and the target's successor may be seen
+     * late, or in another cell.
      */
     private static final int TOTAL_CRASH_LIMIT = 4;
 
     /**
-     * How long a crash counts, in ms: a caller hands a job in again some seconds after its time is
-     * over, and a crashed target is back some seconds later.
+     * How long a crash counts, in ms: a caller submits a job again some seconds after its timeout,
+     * and a crashed target is back some seconds later.
      */
     private static final long RETENTION_MS = 60_000;
 
-    /** Most tasks of which crashes are remembered. */
+    /** Maximum number of tasks whose crashes are kept. */
     private static final int MAX_TASKS = 2_000;
 
     private record Crashes(Map<String, CrashEvidence> byTarget, long atMs) {
         static final Crashes NONE = new Crashes(Map.of(), 0);
 
         Crashes with(String target, CrashEvidence evidence, long nowMs) {
-            Map<String, CrashEvidence> more = new LinkedHashMap<>(byTarget);
-            more.merge(target, evidence, CrashEvidence::stronger);
-            return new Crashes(more, nowMs);
+            Map<String, CrashEvidence> merged = new LinkedHashMap<>(byTarget);
+            merged.merge(target, evidence, CrashEvidence::stronger);
+            return new Crashes(merged, nowMs);
         }
 
         boolean implicatesTask() {
@@ -65,36 +70,42 @@
     private final Map<TaskName, Crashes> mCrashes = new LinkedHashMap<>();
     private final Map<String, ExpiredTarget> mExpiredTargets = new HashMap<>();
 
-    /** The leases of what ran on the target are over; it may have crashed. */
+    /** Records that the leases of the runs on a target have expired; it may have crashed. */
     void recordLeaseExpiry(TargetInfo target, List<LostRun> runs, long nowMs) {
         if (!runs.isEmpty()) {
             mExpiredTargets.put(target.id(), new ExpiredTarget(target.address(), runs, nowMs));
         }
     }
 
-    /** The target has answered: it has not crashed. */
+    /** Called when a target has answered, so it has not crashed. */
     void targetAnswered(String target) {
         mExpiredTargets.remove(target);
     }
 
-    /** Takes what lapsed on a target that is gone; it counts once. */
+    /**
+     * Removes and returns the runs whose leases expired on a target that is gone, so that they
+     * count once.
+     */
     List<LostRun> takeExpired(String target, long nowMs) {
         evict(nowMs);
         return takeExpired(target);
     }
 
     private List<LostRun> takeExpired(String target) {
-        ExpiredTarget lapsed = mExpiredTargets.remove(target);
-        return lapsed == null ? List.of() : lapsed.runs();
+        ExpiredTarget expired = mExpiredTargets.remove(target);
+        return expired == null ? List.of() : expired.runs();
     }
 
-    /** Takes what lapsed on earlier targets at the address of a new one; it counts once. */
+    /**
+     * Removes and returns the runs whose leases expired on earlier targets at the address of a new
+     * one, so that they count once.
+     */
     List<LostRun> takeExpiredPredecessors(TargetInfo successor, long nowMs) {
         evict(nowMs);
         List<LostRun> runs = new ArrayList<>();
         for (String target : List.copyOf(mExpiredTargets.keySet())) {
-            boolean there = mExpiredTargets.get(target).address().equals(successor.address());
-            if (there && !target.equals(successor.id())) {
+            boolean sameAddress = mExpiredTargets.get(target).address().equals(successor.address());
+            if (sameAddress && !target.equals(successor.id())) {
                 runs.addAll(takeExpired(target));
             }
         }
@@ -102,55 +113,55 @@
     }
 
     /**
-     * A target has crashed under the task, as this VM or another one has found. Told again, it
-     * counts once.
+     * Records that a target crashed, or may have crashed, while running the task, as found by this
+     * VM or another one. A crash that is reported again counts once.
      */
     void recordCrash(TaskName task, String target, CrashEvidence evidence, long nowMs) {
         Crashes known = crashes(task);
-        // Taken out first: an entry that is written over would keep its place among the oldest.
+        // Removed first: an entry that is overwritten would keep its position among the oldest.
         mCrashes.remove(task);
         mCrashes.put(task, known.with(target, evidence, nowMs));
         evict(nowMs);
     }
 
-    /** Drops what is too old or too much, from the oldest on. */
+    /** Removes entries that are too old, and the oldest ones beyond the maximum number. */
     private void evict(long nowMs) {
         Iterator<Crashes> it = mCrashes.values().iterator();
         while (it.hasNext()) {
-            boolean old = nowMs - it.next().atMs() > RETENTION_MS;
-            if (!old && mCrashes.size() <= MAX_TASKS) {
+            boolean tooOld = nowMs - it.next().atMs() > RETENTION_MS;
+            if (!tooOld && mCrashes.size() <= MAX_TASKS) {
                 break;
             }
             it.remove();
         }
-        mExpiredTargets.values().removeIf(lapsed -> nowMs - lapsed.atMs() > RETENTION_MS);
+        mExpiredTargets.values().removeIf(expired -> nowMs - expired.atMs() > RETENTION_MS);
     }
 
     private Crashes crashes(TaskName task) {
         return mCrashes.getOrDefault(task, Crashes.NONE);
     }
 
-    /** How many targets have crashed under the task, or may have. */
+    /** Number of targets that crashed, or may have crashed, while running the task. */
     int crashCount(TaskName task) {
         return crashes(task).byTarget().size();
     }
 
-    /** True when a target has crashed under the task, and the task may be the cause. */
+    /** True when a target has crashed while running the task, and the task may be the cause. */
     boolean isSuspect(TaskName task) {
         return !mCrashes.isEmpty() && crashes(task).implicatesTask();
     }
 
-    /** True when any of the tasks is suspected. */
+    /** True when any of the tasks is suspect. */
     boolean anySuspect(Collection<TaskName> tasks) {
         return !mCrashes.isEmpty() && tasks.stream().anyMatch(this::isSuspect);
     }
 
-    /** Targets that are silent since their leases are over, which the task ran on. */
+    /** Targets that ran the task, whose leases have expired and that have not answered since. */
     private Set<String> expiredTargetsRunning(TaskName task) {
         Set<String> targets = new LinkedHashSet<>();
         mExpiredTargets.forEach(
-                (target, lapsed) -> {
-                    if (lapsed.runs().stream().anyMatch(run -> run.task().equals(task))) {
+                (target, expired) -> {
+                    if (expired.runs().stream().anyMatch(run -> run.task().equals(task))) {
                         targets.add(target);
                     }
                 });
@@ -158,9 +169,9 @@
     }
 
     /**
-     * The verdict on the task's job when so many targets have crashed under it that it is started
-     * no more; empty while it may be started. It is never told as failed: what a target knew of the
-     * end of a run is lost with the target.
+     * The verdict on the task's job once the task has reached a crash limit and is not started
+     * again; empty while it may be started. The verdict is never {@link Verdict.Failed}: what a
+     * target knew of the end of a run is lost with the target.
      */
     Optional<Verdict> verdictOn(TaskName task, long nowMs) {
         if (mCrashes.isEmpty() && mExpiredTargets.isEmpty()) {
@@ -170,12 +181,12 @@
         Crashes crashes = crashes(task);
         Set<String> targets = new LinkedHashSet<>(crashes.byTarget().keySet());
         targets.addAll(expiredTargetsRunning(task));
-        boolean givenUp =
+        boolean limitReached =
                 crashes.confirmed() >= CONFIRMED_CRASH_LIMIT || targets.size() >= TOTAL_CRASH_LIMIT;
-        if (!givenUp) {
+        if (!limitReached) {
             return Optional.empty();
         }
-        String reason = "targets were lost under task " + task.index() + ": ";
+        String reason = "targets were lost while running task " + task.index() + ": ";
         return Optional.of(new Verdict.InDoubt(reason + String.join(",", targets)));
     }
 }
--- a/core/src/main/java/org/boragegap/core/cell/Evacuations.java
+++ b/core/src/main/java/org/boragegap/core/cell/Evacuations.java
@@ -3,27 +3,28 @@
 import java.util.Set;
 
 /**
- * Which failure domains operators want emptied: nothing more is started on their targets, and what
- * runs there ends in peace. Outlives the terms of a controller.
+ * The failure domains that operators are evacuating: nothing more is started on their targets, and
+ * what runs there may finish. Kept across the terms of a controller.
  *
- * <p>Until the first answer of the store nothing is known, and every domain counts as evacuated.
- * Guards against a process that starts in the middle of an evacuation: dealt a cell before it has
- * read what operators ask for, it would start tasks in a domain that is about to lose its power.
+ * <p>Until the store has answered for the first time nothing is known, and every domain counts as
+ * evacuated. Guards against a process that starts in the middle of an evacuation: if it were
+ * assigned a cell before it has read the evacuations, it would start tasks in a domain that is
+ * about to lose its power.
  */
 final class Evacuations {
     private boolean mKnown;
     private Set<String> mDomains = Set.of();
 
-    /** True when the store has told what operators ask for. */
+    /** True when the evacuations have been read from the store. */
     boolean known() {
         return mKnown;
     }
 
     /**
-     * Takes what the store says now.
+     * Takes the current evacuations from the store.
      *
-     * @param domains all failure domains that are to be empty
-     * @return true when it says something else than before
+     * @param domains all failure domains to be evacuated
+     * @return true when they were unknown before or have changed
      */
     boolean update(Set<String> domains) {
         boolean changed = !mKnown || !mDomains.equals(domains);
@@ -32,7 +33,7 @@
         return changed;
     }
 
-    /** True when tasks may be started on the target, as far as operators are concerned. */
+    /** True when no evacuation keeps tasks from being started on the target. */
     boolean allows(TargetInfo target) {
         return mKnown && !mDomains.contains(target.failureDomain());
     }
--- a/core/src/main/java/org/boragegap/core/cell/LeaseCalls.java
+++ b/core/src/main/java/org/boragegap/core/cell/LeaseCalls.java
@@ -5,33 +5,33 @@
 import java.util.Optional;
 
 /**
- * The lease calls to one target that are under way.
+ * The lease calls to one target that are in flight.
  *
- * <p>One of them is the standing call: the target holds it back until something ends. Others ask
- * for a report at once. A standing call whose answer is overdue is replaced, while its late answer
+ * <p>One of them is a long poll: the target holds back its answer until a run ends. Others request
+ * a report immediately. A long poll whose answer is overdue is replaced, while its late answer
  * still counts.
  */
 final class LeaseCalls {
     /**
-     * Calls in a row, overdue or not sent, after which the target counts as silent: one lost answer
-     * is not.
+     * Consecutive calls, either overdue or not sent, after which the target counts as unresponsive;
+     * a single lost answer is not enough.
      */
     private static final int CALLS_UNTIL_UNRESPONSIVE = 2;
 
-    /** The pause between two standing calls doubles with each overdue one, this often at most. */
+    /** The timeout of a long poll doubles with each consecutive overdue one, at most this often. */
     private static final int MAX_BACKOFF_DOUBLINGS = 3;
 
     /**
-     * A call.
+     * A lease call.
      *
-     * @param number names it
+     * @param number identifies the call
      * @param sentMs when it was sent
-     * @param waitMs how long the target may hold its answer back, in ms
+     * @param waitMs how long the target may hold back its answer, in ms
      */
     record Call(long number, long sentMs, long waitMs) {
         /**
-         * True when the target held the answer back until something ended; false also for an answer
-         * that comes later than that, which was held up on its way.
+         * True when the target held back the answer until a run ended; false also for an answer
+         * that comes later than the target may hold it back, since it was delayed on its way.
          */
         boolean wasHeld(long answeredMs, long timeoutMs) {
             long tookMs = answeredMs - sentMs;
@@ -57,12 +57,12 @@
         mReportRequest = call;
     }
 
-    /** True when a report is under way that was asked for less than a timeout ago. */
+    /** True when a report was requested at most a timeout ago and has not arrived yet. */
     boolean reportRequestPending(long nowMs, long timeoutMs) {
         return mReportRequest != null && nowMs - mReportRequest.sentMs() <= timeoutMs;
     }
 
-    /** Takes a call off the list; empty for one that is not under way. */
+    /** Removes and returns a call that has ended; empty for one that is not in flight. */
     Optional<Call> complete(long number) {
         Call call = mInFlight.remove(number);
         if (call != null && call == mLongPoll) {
@@ -74,7 +74,9 @@
         return Optional.ofNullable(call);
     }
 
-    /** The target has answered; true when an answer before this one was overdue. */
+    /**
+     * Called when the target has answered; returns true when an answer before this one was overdue.
+     */
     boolean answered(long nowMs) {
         boolean lost = mConsecutiveOverdue > 0;
         mConsecutiveOverdue = 0;
@@ -89,19 +91,19 @@
         return mAnsweredMs;
     }
 
-    /** Sends no standing call for a while. */
+    /** Allows no further long poll until the given time. */
     void delayLongPoll(long untilMs) {
         mNextLongPollMs = untilMs;
     }
 
-    /** True when a standing call should be sent. */
+    /** True when a long poll should be sent. */
     boolean longPollDue(long nowMs) {
         return mLongPoll == null && nowMs >= mNextLongPollMs;
     }
 
     /**
-     * True when a standing call that may be held back for longer than {@code waitMs} has been
-     * waited for that long since there is something at work.
+     * True when a long poll that may be held back for longer than {@code waitMs} has been pending
+     * for {@code waitMs} while something was running.
      */
     boolean longPollTooLong(long nowMs, long busySinceMs, long waitMs) {
         return mLongPoll != null
@@ -109,7 +111,7 @@
                 && nowMs - Math.max(mLongPoll.sentMs(), busySinceMs) >= waitMs;
     }
 
-    /** Gives up waiting for the standing call when its answer is overdue; true if so. */
+    /** Stops waiting for the long poll when its answer is overdue; returns true if so. */
     boolean dropOverdueLongPoll(long nowMs, long timeoutMs) {
         if (mLongPoll == null) {
             return false;
@@ -126,22 +128,22 @@
         return true;
     }
 
-    /** A call couldn't be sent, since the target takes no connection. */
+    /** Called when a call could not be sent, since the target accepts no connection. */
     void notSent() {
         mConsecutiveNotSent++;
     }
 
-    /** An order of another kind is overdue. */
+    /** Called when the answer to an order of another kind is overdue. */
     void orderOverdue() {
         mConsecutiveOverdue = Math.max(mConsecutiveOverdue, 1);
     }
 
-    /** True when the last order got no answer in time, or couldn't be sent. */
+    /** True when the last order was not answered in time or could not be sent. */
     boolean lastOrderFailed() {
         return mConsecutiveOverdue > 0 || mConsecutiveNotSent > 0;
     }
 
-    /** True when the target gives no answer at all, as far as is known. */
+    /** True when the target, as far as is known, does not answer at all. */
     boolean unresponsive() {
         return mConsecutiveOverdue >= CALLS_UNTIL_UNRESPONSIVE
                 || mConsecutiveNotSent >= CALLS_UNTIL_UNRESPONSIVE;
--- a/core/src/main/java/org/boragegap/core/cell/LeaseManager.java
+++ b/core/src/main/java/org/boragegap/core/cell/LeaseManager.java
@@ -8,52 +8,57 @@
 import java.util.Set;
 import java.util.function.LongSupplier;
 
-/** Keeps the list of targets, extends their leases and asks for their reports. */
+/** Maintains the list of targets, extends their leases and requests their reports. */
 final class LeaseManager {
-    /** Lease that each order asks for, in ms; targets grant a second at the most. */
+    /** Lease that each order requests, in ms; targets grant a second at most. */
     static final long LEASE_MS = 1_000;
 
     /**
-     * How long a target may wait for an end before it answers a lease call, in ms. A lost call is
-     * noticed and sent again while over a quarter of the lease is left.
+     * How long a target may wait for a run to end before it answers a lease call, in ms. A lost
+     * call is noticed and sent again while more than a quarter of the lease is left.
      */
     private static final long LONG_POLL_MS = 300;
 
     /**
-     * Least time that a target may wait for an end while answers are lost, in ms. A lost call
-     * leaves the controller blind for as long as the target was allowed to wait, so it is sent
-     * again soon after the next end is expected.
+     * Minimum time that a target may wait for a run to end while answers are being lost, in ms.
+     * After a lost call the controller hears nothing for as long as the target was allowed to wait,
+     * so the next call is due soon after the next run is expected to end.
      */
     private static final long MIN_LONG_POLL_MS = 15;
 
     /**
-     * The same where nothing runs, in ms: there is no lease to be extended, and a target that has
-     * died shows by its first start without an answer. It buys fewer calls. Not longer, since each
-     * start that goes to a dead one costs its caller a second.
+     * How long an idle target may wait before it answers a lease call, in ms. It has no lease to be
+     * extended, and a target that has died is detected by the first start that it does not answer,
+     * so the longer wait only saves calls. It is not longer still, since each start that is sent to
+     * a dead target costs the caller a second.
      */
     private static final long IDLE_LONG_POLL_MS = 1_000;
 
-    /** Pause before a failed lease call is sent again, in ms. */
+    /** Delay before a failed lease call is sent again, in ms. */
     private static final long RETRY_DELAY_MS = 100;
 
-    /** An end that is heard of this much later, in ms, still tells how long a run took. */
+    /**
+     * An end that is reported with at most this delay, in ms, still shows how long the run took.
+     */
     private static final long EXACT_END_TOLERANCE_MS = 10;
 
-    /** Kept after the computed end of a lease, in ms: rounding of two clocks to milliseconds. */
+    /**
+     * Added to the computed end of a lease, in ms, since two clocks are rounded to milliseconds.
+     */
     private static final long LEASE_SLACK_MS = 20;
 
     /**
      * How long a target that left the platform's list may still be given work, in ms. Entries that
-     * lapsed while the list was away come back within two seconds.
+     * expired while the list was unavailable come back within two seconds.
      */
     private static final long UNLISTED_GRACE_MS = 2_500;
 
-    /** How long an entry in the list may outlast its target, in ms; stale reads included. */
+    /** How long an entry in the list may outlast its target, in ms, including stale reads. */
     private static final long STALE_ENTRY_MS = 60_000;
 
     /**
-     * A target is given no work for this time after it was first seen, in ms: the other entry VMs
-     * are told of it first, so that a next controller knows where to look for what runs.
+     * How long a target is given no work after it was first seen, in ms: it is announced to the
+     * other entry VMs first, so that the next controller knows where to look for active runs.
      */
     private static final long ANNOUNCEMENT_DELAY_MS = 200;
 
@@ -63,14 +68,14 @@
     private final LongSupplier mCallNumbers;
     private List<TargetInfo> mAnnounced = List.of();
 
-    /** Targets that are gone for good, and since when; the list may still name them. */
+    /** Replaced targets by id, with the time of replacement; the list may still contain them. */
     private final Map<String, Long> mReplaced = new HashMap<>();
 
     /**
-     * Makes a keeper.
+     * Creates a manager.
      *
-     * @param callNumbers a new number for each call, over all terms of this VM: an answer to a call
-     *     of an earlier term says nothing of this one
+     * @param callNumbers supplies a number for each call that is unique over all terms of this VM:
+     *     an answer to a call of an earlier term says nothing about this one
      */
     LeaseManager(Term term, RunTracker runs, CrashDetector crashes, LongSupplier callNumbers) {
         mTerm = term;
@@ -80,8 +85,9 @@
     }
 
     /**
-     * Takes the targets that the controller before had, which all other entry VMs know of. They are
-     * told again as those of this term: the next controller goes by the last term's list alone.
+     * Takes over the targets of the previous controller, which all other entry VMs know. They are
+     * announced again as those of this term, since the next controller uses only the list of the
+     * last term.
      */
     void inherit(List<TargetInfo> infos) {
         for (TargetInfo info : infos) {
@@ -102,8 +108,8 @@
             }
             Target known = mTerm.targets().get(info.id());
             if (known == null) {
-                long openMs = mTerm.nowMs() + ANNOUNCEMENT_DELAY_MS;
-                Target target = new Target(info, openMs, earlierLeaseEndMs());
+                long schedulableFromMs = mTerm.nowMs() + ANNOUNCEMENT_DELAY_MS;
+                Target target = new Target(info, schedulableFromMs, earlierLeaseEndMs());
                 mTerm.targets().put(info.id(), target);
                 mTerm.targetAppeared(info);
                 mCrashes.newTargetListed(info);
@@ -121,7 +127,7 @@
         announceTargets();
     }
 
-    /** Until when a lease that an earlier controller gave just now may last. */
+    /** The latest time at which a lease that an earlier controller granted just now may end. */
     private long earlierLeaseEndMs() {
         return mTerm.nowMs() + (long) Math.ceil(LEASE_MS / Target.MIN_CLOCK_RATE);
     }
@@ -137,25 +143,26 @@
 
     private void logDrainStart(Target known, TargetInfo info) {
         if (info.draining() && !known.info().draining()) {
-            mTerm.log(Decision.target("drain", info.id(), "listed=draining", "starts nothing"));
+            mTerm.log(Decision.target("drain", info.id(), "listed=draining", "gets no new work"));
         }
     }
 
     /**
-     * Asks for a report at once, beside the standing call, unless one was just asked for. A target
-     * that is silent is asked by the standing call alone, which is repeated: asked for each of its
-     * runs in every turn, it had no connection left when it was back after a cut.
+     * Requests a report immediately, beside the long poll, unless one was just requested. An
+     * unresponsive target is only sent the long poll, which is repeated: when a report was
+     * requested for each of its runs on every tick, the target had no connection left once it was
+     * reachable again after a network partition.
      */
     void requestReport(Target target) {
-        boolean silent = target.calls().unresponsive();
-        if (!silent
+        boolean unresponsive = target.calls().unresponsive();
+        if (!unresponsive
                 && !target.calls()
                         .reportRequestPending(mTerm.nowMs(), target.roundTrips().timeoutMs())) {
             requestNewReport(target);
         }
     }
 
-    /** Asks for a report at once: one that is under way was asked for too early. */
+    /** Requests a report immediately, even if one is pending, which was requested too early. */
     void requestNewReport(Target target) {
         target.calls().reportRequestSent(send(target, 0));
     }
@@ -164,14 +171,14 @@
         target.calls().longPollSent(send(target, target.reported() ? longPollWaitMs(target) : 0));
     }
 
-    /** How long the target may hold the standing call back. */
+    /** How long the target may hold back the long poll, in ms. */
     private long longPollWaitMs(Target target) {
         if (target.calls().unresponsive()) {
             return 0;
         }
         if (!target.busy()) {
-            boolean doubtful = mTerm.hasRecentLosses() || target.calls().lastOrderFailed();
-            return doubtful ? LONG_POLL_MS : IDLE_LONG_POLL_MS;
+            boolean answersMayBeLost = mTerm.hasRecentLosses() || target.calls().lastOrderFailed();
+            return answersMayBeLost ? LONG_POLL_MS : IDLE_LONG_POLL_MS;
         }
         if (!mTerm.hasRecentLosses() || target.runs().isEmpty()) {
             return LONG_POLL_MS;
@@ -182,9 +189,9 @@
     }
 
     /**
-     * Sends a lease call. One to a silent target extends nothing: each call may have reached it, so
-     * with each that did extend, the lease of a target that had crashed was never over, and its
-     * tasks started nowhere else until it was back.
+     * Sends a lease call. A call to an unresponsive target does not extend its lease: any such call
+     * may have reached the target, so if each of them extended the lease, that of a crashed target
+     * would never expire, and its tasks would start nowhere else until it was back.
      */
     private LeaseCalls.Call send(Target target, long waitMs) {
         long call = mCallNumbers.getAsLong();
@@ -230,17 +237,18 @@
         if (inOrder) {
             mRuns.reported(target, report, call.sentMs(), exact);
         } else {
-            // Overtaken by a later report: what it says to have ended has, but a run that it
-            // doesn't list may have begun since, so it proves no absence.
+            // Overtaken by a later report. The ends that it lists are valid, but a run that it
+            // doesn't
+            // list may have started since, so it proves no absence.
             mRuns.ended(target, report, exact);
         }
         if (first || target.calls().longPollDue(mTerm.nowMs())) {
-            // The first answer tells the target's clock; no call before could extend its lease.
+            // The first answer gives the target's clock; no earlier call could extend its lease.
             sendLongPoll(target);
         }
     }
 
-    /** The target has answered an order. */
+    /** Called when the target has answered an order. */
     void targetAnswered(Target target) {
         if (target.calls().answered(mTerm.nowMs())) {
             mTerm.recordLostAnswer();
@@ -248,8 +256,8 @@
     }
 
     /**
-     * True when what this answer says to have ended has ended just now: the target held the call
-     * back until then, or was heard of a moment before.
+     * True when the runs that this answer lists as ended have ended just now: the target held back
+     * the call until then, or had answered a moment before.
      */
     private boolean endsAreExact(Target target, LeaseCalls.Call call) {
         boolean held = call.wasHeld(mTerm.nowMs(), target.roundTrips().timeoutMs());
@@ -262,7 +270,7 @@
             return;
         }
         if (event.cause() != OrderResult.UNKNOWN) {
-            // A call without an answer was replaced already, when it was overdue.
+            // An unanswered call was already replaced when it became overdue.
             target.calls().delayLongPoll(mTerm.nowMs() + RETRY_DELAY_MS);
         }
         if (event.cause() == OrderResult.NOT_SENT) {
@@ -275,7 +283,10 @@
         }
     }
 
-    /** Another incarnation answers at the target's address: all that ran there has ended. */
+    /**
+     * Called when another incarnation answers at the target's address: all that ran there has
+     * ended.
+     */
     void targetReplaced(Target target) {
         List<LostRun> runs = mCrashes.recordLoss(target);
         mRuns.releaseAll(target, "another incarnation");
@@ -296,7 +307,7 @@
                                 "silent_ms=" + (mTerm.nowMs() - target.calls().answeredMs()),
                                 "its runs start elsewhere"));
                 mCrashes.recordLeaseExpiry(target);
-                mRuns.releaseAll(target, "lease over");
+                mRuns.releaseAll(target, "lease expired");
             }
             boolean gone = target.unlistedFor(mTerm.nowMs(), UNLISTED_GRACE_MS);
             if (gone && target.runs().isEmpty()) {
@@ -309,10 +320,10 @@
     }
 
     /**
-     * True when all that the target ran is over. Guards against a sound target that is taken for
-     * lost while it holds a standing call for a second: nothing on it needs a lease, and the one
-     * that the call gave may end before the answer comes. One whose answer is overdue lapses as any
-     * other.
+     * True when the leases of all that ran on the target have expired. Guards against taking a
+     * healthy idle target for lost while it holds back a long poll for a second: nothing on it
+     * needs a lease, and the lease that the call granted may end before the answer arrives. An idle
+     * target whose answer is overdue expires like any other.
      */
     private boolean isExpired(Target target) {
         boolean idle = !target.busy() && !target.calls().lastOrderFailed();
@@ -327,10 +338,10 @@
     }
 
     /**
-     * True when the standing call was sent while nothing ran, and something has run since for as
-     * long as such a call is held back at the most. Guards against the lapse of that run's lease,
-     * which lasts for a second from its start, and against an end that goes unheard if the call was
-     * lost on its way. A shorter run needs no further call: its end answers the standing one.
+     * True when the long poll was sent while the target was idle, and something has run since then
+     * for as long as a busy target may hold back a call. Guards against the expiry of that run's
+     * lease, which lasts for a second from its start, and against an unreported end if the call was
+     * lost on its way. A shorter run needs no further call: its end answers the pending one.
      */
     private boolean longPollTooLong(Target target) {
         return target.busy()
@@ -338,7 +349,7 @@
                         .longPollTooLong(mTerm.nowMs(), target.busySinceMs(), LONG_POLL_MS);
     }
 
-    /** True when each known target has reported in this term. */
+    /** True when there are targets and each of them has reported in this term. */
     boolean allReported() {
         for (Target target : mTerm.targets().values()) {
             if (!target.reported()) {
--- a/core/src/main/java/org/boragegap/core/cell/LostRun.java
+++ b/core/src/main/java/org/boragegap/core/cell/LostRun.java
@@ -10,17 +10,17 @@
  * @param task the task
  * @param number the run's number
  * @param target id of the target
- * @param evidence how surely it was at work there
- * @param orderedMs when it was ordered
+ * @param evidence how certain it is that the task was running there
+ * @param orderedMs when its start was ordered
  */
 record LostRun(TaskName task, int number, String target, CrashEvidence evidence, long orderedMs) {
 
-    /** The same, where the loss of the target has a cause outside the task. */
+    /** A copy for a target whose loss has a cause outside the task. */
     LostRun asCoincident() {
         return new LostRun(task, number, target, CrashEvidence.COINCIDENT, orderedMs);
     }
 
-    /** The runs on a target that were at work there, or may have been. */
+    /** The lost runs among those on a target: all that were active there, or may have been. */
     static List<LostRun> of(Collection<Run> runs) {
         List<LostRun> lost = new ArrayList<>();
         for (Run run : runs) {
--- a/core/src/main/java/org/boragegap/core/cell/Placement.java
+++ b/core/src/main/java/org/boragegap/core/cell/Placement.java
@@ -2,7 +2,10 @@
 
 import java.util.Optional;
 
-/** Chooses the target for a task: the one on which it is expected to end first. */
+/**
+ * Chooses the target for a task: the one on which it is expected to end first, and among those the
+ * one with the least free processor capacity.
+ */
 final class Placement {
     private final Term mTerm;
     private final double mFarFactor;
@@ -33,16 +36,17 @@
     }
 
     /**
-     * The largest room on a target that may be given work, in thousandths of a core; -1 if none.
+     * The largest free processor capacity on a target that may be given work, in thousandths of a
+     * core; -1 if there is none.
      */
     int maxFreeCpu() {
-        int largest = -1;
+        int maxCpu = -1;
         for (Target target : mTerm.targets().values()) {
-            if (target.freeCpu() > largest && mTerm.acceptsWork(target)) {
-                largest = target.freeCpu();
+            if (target.freeCpu() > maxCpu && mTerm.acceptsWork(target)) {
+                maxCpu = target.freeCpu();
             }
         }
-        return largest;
+        return maxCpu;
     }
 
     private boolean canPlace(CellTask task, Target target) {
@@ -59,13 +63,13 @@
     }
 
     /**
-     * A task under which a target has crashed runs alone: were it the cause, the next crash would
-     * take others' tasks with it, and they would be suspected in their turn.
+     * A suspect task, which may have crashed a target, runs alone: if it is the cause, the next
+     * crash would take others' tasks with it, and they would become suspect in turn.
      */
     private boolean respectsIsolation(CellTask task, Target target) {
         CrashHistory crashes = mTerm.crashes();
-        boolean apart = !target.busy() || !crashes.isSuspect(task.name());
-        return apart && !crashes.anySuspect(target.runs().keySet());
+        boolean isolated = !target.busy() || !crashes.isSuspect(task.name());
+        return isolated && !crashes.anySuspect(target.runs().keySet());
     }
 
     private static boolean isCompatible(JobRequest request, StepRequest step, TargetInfo info) {
@@ -79,7 +83,9 @@
         return far ? target.speed() / mFarFactor : target.speed();
     }
 
-    /** True when for each step of the job some listed target could run its tasks. */
+    /**
+     * True when, for each step of the job, some known target could run its tasks if it were idle.
+     */
     boolean isFeasible(JobRequest request) {
         return request.steps().stream().allMatch(step -> isFeasible(request, step));
     }
@@ -90,7 +96,7 @@
                 return true;
             }
         }
-        // A target that has just restarted is expected to be of the kind that it was.
+        // The successor of a replaced target is expected to have the same capacity and labels.
         return mTerm.replacedTargets().stream().anyMatch(info -> isFeasible(request, step, info));
     }
 
@@ -98,7 +104,7 @@
         return mTerm.evacuations().allows(info) && isCompatible(request, step, info);
     }
 
-    /** True when a target is free for a task of this job's first step. */
+    /** True when a target is free for the job's first ready task. */
     boolean hasFreeTargetFor(CellJob job) {
         return job.readyTasks().stream().findFirst().flatMap(this::choose).isPresent();
     }
--- a/core/src/main/java/org/boragegap/core/cell/Target.java
+++ b/core/src/main/java/org/boragegap/core/cell/Target.java
@@ -6,19 +6,22 @@
 import java.util.Optional;
 
 /**
- * The account of one target: its lease, its clock, what runs there and what room is left.
+ * The state of one target: its lease, its clock, its runs and its free capacity.
  *
- * <p>Targets may start whatever they are told to, so the account has to be exact: room counts as
- * taken from the order to start until the target has listed the end, or its lease is surely over.
+ * <p>A target may start everything that it is ordered to, so this state has to be exact: capacity
+ * counts as used from the order to start until the target has listed the end, or its lease has
+ * certainly expired.
  */
 final class Target {
-    /** A target's clock may run this much slower than ours; bound of the platform. */
+    /** Lowest rate of a target's clock relative to ours; a bound of the platform. */
     static final double MIN_CLOCK_RATE = 0.98;
 
-    /** Weight of a new sample of the speed: about the last ten tasks decide. */
+    /** Weight of a new speed sample: about the last ten tasks decide. */
     private static final double SPEED_WEIGHT = 0.1;
 
-    /** A foreign run: its size isn't known until its job is offered. */
+    /**
+     * A run that this controller has not ordered; its needs are unknown until its job is offered.
+     */
     record ForeignRun(TaskName task, int run) {}
 
     private TargetInfo mInfo;
@@ -43,18 +46,19 @@
     private long mUnreachableUntilMs;
 
     /**
-     * Makes an account.
+     * Creates the state of a target.
      *
-     * <p>Guards against taking a target's lease for over because this controller has not extended
-     * it yet: an earlier one may have done so until just now. Its tasks were started a second time
-     * while they ran, when the answer to the first call took longer than its timeout.
+     * <p>Guards against taking a target's lease for expired because this controller has not
+     * extended it yet: an earlier controller may have done so until just now. The target's tasks
+     * were started a second time while they ran, when the answer to the first call took longer than
+     * its timeout.
      *
-     * @param openMs before this time it is given no work
-     * @param leaseEndMs until then a lease of an earlier controller may last
+     * @param schedulableFromMs before this time the target is given no work
+     * @param leaseEndMs until when a lease from an earlier controller may last
      */
-    Target(TargetInfo info, long openMs, long leaseEndMs) {
+    Target(TargetInfo info, long schedulableFromMs, long leaseEndMs) {
         mInfo = info;
-        mSchedulableFromMs = openMs;
+        mSchedulableFromMs = schedulableFromMs;
         mLeaseEndMs = leaseEndMs;
     }
 
@@ -81,7 +85,7 @@
         return mUnlistedSinceMs >= 0 && nowMs - mUnlistedSinceMs > spanMs;
     }
 
-    // Runs and room
+    // Runs and capacity
 
     Map<TaskName, Run> runs() {
         return mRuns;
@@ -91,12 +95,15 @@
         return mForeignRuns;
     }
 
-    /** True when something runs on it, or may run. */
+    /** True when something runs on the target, or may be running. */
     boolean busy() {
         return !mRuns.isEmpty() || !mForeignRuns.isEmpty();
     }
 
-    /** Since when what runs on it was ordered, in ms; what others have ordered counts as long. */
+    /**
+     * When the oldest run on the target was ordered, in ms; 0 if there is a foreign run, which may
+     * be much older.
+     */
     long busySinceMs() {
         if (!mForeignRuns.isEmpty()) {
             return 0;
@@ -146,7 +153,7 @@
                 .count();
     }
 
-    /** True when it may be given work. */
+    /** True when the target may be given work. */
     boolean schedulable(long nowMs) {
         return mReported
                 && !mLost
@@ -166,10 +173,10 @@
     }
 
     /**
-     * Takes the clock that came with an answer.
+     * Takes the clock reading of an answer.
      *
-     * @return false when a later answer came before: several calls are under way at a time, and
-     *     answers on different connections overtake each other
+     * @return false when a later answer arrived before this one: several calls are in flight at a
+     *     time, and answers on different connections overtake each other
      */
     boolean updateClock(long clockMs, long nowMs) {
         boolean first = !mReported;
@@ -183,30 +190,33 @@
         return later;
     }
 
-    /** The target's clock as it may be now, at the most. */
+    /** Upper bound of the target's clock now. */
     long clockAt(long nowMs) {
         return mClockMs + (nowMs - mClockReadMs);
     }
 
     /**
      * Lease end on the target's clock for an order that is sent now: {@code leaseMs} from now, but
-     * not after {@code mostMs} on our clock, also if the target's clock is slow.
+     * not after {@code limitMs} on our clock, even if the target's clock is slow.
      */
-    long leaseEndOnTargetClock(long nowMs, long leaseMs, long mostMs) {
-        long cappedMs = mClockMs + (long) ((mostMs - mClockReadMs) * MIN_CLOCK_RATE);
+    long leaseEndOnTargetClock(long nowMs, long leaseMs, long limitMs) {
+        long cappedMs = mClockMs + (long) ((limitMs - mClockReadMs) * MIN_CLOCK_RATE);
         return Math.min(clockAt(nowMs) + leaseMs, cappedMs);
     }
 
     /**
-     * Notes that an order with this lease end may reach the target. Its own clock may be slow, so
-     * by ours the lease may last that much longer.
+     * Records that an order with this lease end may reach the target. The target's clock may be
+     * slow, so on our clock the lease may last that much longer.
      */
     void leaseSent(long untilMs) {
         long endMs = mClockReadMs + (long) Math.ceil((untilMs - mClockMs) / MIN_CLOCK_RATE);
         mLeaseEndMs = Math.max(mLeaseEndMs, endMs);
     }
 
-    /** True when whatever ran on it has lapsed, and orders still under way will be rejected. */
+    /**
+     * True when the leases of all runs on the target have expired, and orders still in flight will
+     * be rejected.
+     */
     boolean leaseExpired(long nowMs, long slackMs) {
         return mReported && nowMs > mLeaseEndMs + slackMs;
     }
@@ -244,7 +254,9 @@
         return mSpeed;
     }
 
-    /** Learns from a run that took {@code tookMs} where {@code expectedMs} was expected. */
+    /**
+     * Updates the speed with a run that took {@code tookMs} where {@code expectedMs} was expected.
+     */
     void addSpeedSample(double expectedMs, double tookMs) {
         double speed = expectedMs / Math.max(1.0, tookMs);
         mSpeed += SPEED_WEIGHT * (Math.min(4.0, speed) - mSpeed);
@@ -263,7 +275,9 @@
         mQuarantinedUntilMs = untilMs;
     }
 
-    /** Nothing could be sent to it; until then it is given no work. */
+    /**
+     * Called when nothing could be sent to the target; it is given no work until the given time.
+     */
     void markUnreachable(long untilMs) {
         mUnreachableUntilMs = untilMs;
     }
--- a/core/src/main/java/org/boragegap/core/cell/TargetHealth.java
+++ b/core/src/main/java/org/boragegap/core/cell/TargetHealth.java
@@ -1,24 +1,30 @@
 package org.boragegap.core.cell;
 
 /**
- * Judges targets by what becomes of the runs that they are given. A target that fails everything
- * has free room at all times and would draw all work; one that stands still holds it.
+ * Rates targets by the outcome of their runs. A target that fails every run has free capacity at
+ * all times and would attract all work; one that has stalled holds on to the work that it has.
  */
 final class TargetHealth {
-    /** Failed runs in a row after which a target is given a rest. */
+    /** Consecutive failures after which a target is quarantined. */
     private static final int QUARANTINE_THRESHOLD = 3;
 
-    /** First rest of a target that fails everything, in ms; doubled each time, up to the most. */
+    /**
+     * First quarantine of a target that fails every run, in ms; doubled each time, up to the
+     * maximum.
+     */
     private static final long MIN_QUARANTINE_MS = 500;
 
     private static final long MAX_QUARANTINE_MS = 8_000;
 
-    /** A run is stuck after this many times its expected time and a pause, if hardly under way. */
+    /**
+     * A run is stuck after this many times its expected time plus a slack, if it has made little
+     * progress.
+     */
     private static final double STUCK_FACTOR = 2.5;
 
     private static final long STUCK_SLACK_MS = 200;
 
-    /** No target is taken for slower than this many times the middling one. */
+    /** Lowest speed that is assumed for a target, relative to the typical one. */
     private static final double MIN_SPEED = 0.2;
 
     private final Term mTerm;
@@ -29,21 +35,21 @@
         mTimes = times;
     }
 
-    /** A run has failed on the target, or wasn't taken. */
+    /** Called when a run has failed on the target, or the target did not accept it. */
     void recordFailure(Target target) {
-        int troubles = target.incrementFailures();
-        if (troubles < QUARANTINE_THRESHOLD) {
+        int failures = target.incrementFailures();
+        if (failures < QUARANTINE_THRESHOLD) {
             return;
         }
-        int doublings = Math.min(troubles - QUARANTINE_THRESHOLD, 10);
-        long restMs = Math.min(MAX_QUARANTINE_MS, MIN_QUARANTINE_MS << doublings);
-        target.quarantine(mTerm.nowMs() + restMs);
+        int doublings = Math.min(failures - QUARANTINE_THRESHOLD, 10);
+        long quarantineMs = Math.min(MAX_QUARANTINE_MS, MIN_QUARANTINE_MS << doublings);
+        target.quarantine(mTerm.nowMs() + quarantineMs);
         mTerm.log(
                 Decision.target(
                         "avoid",
                         target.id(),
-                        "failures_in_a_row=" + troubles,
-                        "one probe after " + restMs + " ms"));
+                        "failures_in_a_row=" + failures,
+                        "one probe after " + quarantineMs + " ms"));
     }
 
     /** How long the run should take on its target, in ms. */
@@ -60,11 +66,12 @@
     }
 
     /**
-     * A target that stands still shows as a run far over its time that has hardly begun.
+     * True when the run has far exceeded its expected time and made little progress, which
+     * indicates that its target has stalled.
      *
-     * <p>Guards against sound runs whose end was not heard of, since answers of targets are lost:
-     * runs that were done were stopped, and their targets given a rest. So only a report that was
-     * made after the run should have ended counts.
+     * <p>Guards against healthy runs whose end went unreported because answers of the target were
+     * lost: finished runs were stopped, and their targets were quarantined. So only a report made
+     * after the run should have ended counts.
      */
     boolean isStuck(Run run) {
         boolean seen = run.lastReportedMs() - run.confirmedMs() > stuckAfterMs(run);
@@ -75,7 +82,7 @@
         return Math.round(STUCK_FACTOR * expectedMs(run)) + STUCK_SLACK_MS;
     }
 
-    /** A run that stands still counts as a failed one, and as slow. */
+    /** Counts a stuck run as a failed run and as a slow one. */
     void recordStuckRun(Run run) {
         run.target().addSpeedSample(1, STUCK_FACTOR);
         recordFailure(run.target());
--- a/core/src/main/java/org/boragegap/core/cell/TargetInfo.java
+++ b/core/src/main/java/org/boragegap/core/cell/TargetInfo.java
@@ -3,18 +3,18 @@
 import java.util.Set;
 
 /**
- * What the platform's list says of one incarnation of a target.
+ * One incarnation of a target, as the platform lists it.
  *
- * @param id names the incarnation; another life of the same VM has another id
+ * @param id identifies the incarnation; after a restart the same VM has another id
  * @param address {@code host:port}
  * @param service the service whose tasks it runs
- * @param failureDomain where it is
- * @param cpuMillis processor room, in thousandths of a core
- * @param memoryMb memory room, in MB
- * @param accelerators accelerators
+ * @param failureDomain failure domain that it belongs to
+ * @param cpuMillis processor capacity, in thousandths of a core
+ * @param memoryMb memory capacity, in MB
+ * @param accelerators number of accelerators
  * @param labels its kind and its rack
- * @param enforcesCapacity true when it rejects by itself what doesn't fit
- * @param draining true when it leaves soon
+ * @param enforcesCapacity true when the target itself rejects orders that exceed its capacity
+ * @param draining true when it will leave soon
  */
 public record TargetInfo(
         String id,
@@ -28,7 +28,7 @@
         boolean enforcesCapacity,
         boolean draining) {
 
-    /** True when the step's tasks could run there if nothing else did. */
+    /** True when the target could run a task of the step if it were idle. */
     boolean canHold(StepRequest step) {
         return step.cpuMillis() <= cpuMillis
                 && step.memoryMb() <= memoryMb
