--- a/core/src/test/java/org/boragegap/core/cell/CorrelatedLossTest.java
+++ b/core/src/test/java/org/boragegap/core/cell/CorrelatedLossTest.java
@@ -8,14 +8,14 @@
 import org.junit.jupiter.api.Nested;
 import org.junit.jupiter.api.Test;
 
-/** Many targets are lost in the same moment, with the tasks of one job or of several. */
+/** Many targets are lost at the same time, with tasks of one job or of several. */
 final class CorrelatedLossTest {
     private static final int TARGETS = 5;
 
     /** A task that takes more than half of a target. */
     private static final StepRequest LARGE = StepRequest.cpuOnly(1, 1_500, 100);
 
-    /** By then the leases of silent targets are over. */
+    /** By then the leases of unresponsive targets have expired. */
     private static final long LEASE_EXPIRED_MS = 6_000;
 
     private final ScriptedCell mCell = new ScriptedCell();
@@ -31,15 +31,17 @@
         mCell.listed(5, mTargets.toArray(TargetInfo[]::new));
     }
 
-    private static TargetInfo target(String id, int place) {
-        return ScriptedCell.target(id, "x:" + place, "a", 2_000);
+    private static TargetInfo target(String id, int port) {
+        return ScriptedCell.target(id, "x:" + port, "a", 2_000);
     }
 
     private static String job(int number) {
         return String.format("%016x", number);
     }
 
-    /** All targets fall silent until they lapse; others are listed in their places. */
+    /**
+     * All targets become unresponsive until their leases expire; then their successors are listed.
+     */
     private List<CrashEvidence> loseAll() {
         mCell.starts().forEach(start -> mCell.acceptStart(12, start));
         mCell.ticks(20, LEASE_EXPIRED_MS);
@@ -67,7 +69,7 @@
             assertThat(mCell.startedOn()).containsNoDuplicates();
         }
 
-        /** Guards against tasks that are blamed for the loss of many targets at once. */
+        /** Guards against suspecting tasks of causing the loss of many targets at once. */
         @Test
         void noTaskIsSuspected() {
             List<CrashEvidence> evidence = loseAll();
@@ -78,7 +80,10 @@
 
     @Nested
     class OneJob {
-        /** Guards against a job being cleared since all its tasks crash their targets at once. */
+        /**
+         * Guards against clearing a job of suspicion because its tasks crash all their targets at
+         * once.
+         */
         @Test
         void eachTaskIsSuspected() {
             mCell.offer(10, job(0), StepRequest.cpuOnly(TARGETS, 1_500, 100));
@@ -97,7 +102,7 @@
             mCell.on(6, new CellEvent.CrashReported(mTask, target, evidence));
         }
 
-        /** Guards against a job failed for two losses that it can't have been the cause of. */
+        /** Guards against ending a job for two losses that it cannot have caused. */
         @Test
         void twoCoincidentCrashesDoNotEndJob() {
             reportCrash("c1", CrashEvidence.COINCIDENT);
@@ -107,7 +112,7 @@
             assertThat(mCell.starts()).hasSize(1);
         }
 
-        /** Guards against targets that are kept for a task which nothing speaks against. */
+        /** Guards against reserving a target for a task that is not suspect. */
         @Test
         void taskSharesTargetWithOthers() {
             reportCrash("c1", CrashEvidence.COINCIDENT);
@@ -116,7 +121,10 @@
             assertThat(mCell.starts()).hasSize(2 * TARGETS);
         }
 
-        /** Guards against a task that is started for ever since it is lost in company. */
+        /**
+         * Guards against starting a task for ever because its targets are always lost together with
+         * others.
+         */
         @Test
         void taskIsNotStartedAfterFourCoincidentCrashes() {
             for (String target : List.of("c1", "c2", "c3", "c4")) {
--- a/core/src/test/java/org/boragegap/core/cell/CrashingTaskTest.java
+++ b/core/src/test/java/org/boragegap/core/cell/CrashingTaskTest.java
@@ -7,8 +7,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A job holds a task that crashes whatever starts it. Started again and again, it takes down one
- * target after the other, with all that other callers have running there.
+ * A job has a task that crashes every target that starts it. Started again and again, it takes down
+ * one target after the other, together with the tasks of other callers there.
  */
 final class CrashingTaskTest {
     private static final String JOB = "00000000000000c1";
@@ -18,10 +18,13 @@
     private static final TargetInfo SECOND = ScriptedCell.target("t2", "x:2", "a", 2_000);
     private static final TargetInfo FIRST_SUCCESSOR = ScriptedCell.target("t3", "x:1", "a", 2_000);
 
-    /** By then the leases of a silent target are over: calls to it extend them less and less. */
+    /**
+     * By then the leases of a target that stops answering have expired: calls to it extend them
+     * until it counts as unresponsive.
+     */
     private static final long LEASE_EXPIRED_MS = 6_000;
 
-    /** By then what happened in the first seconds counts no more. */
+    /** By then crashes of the first seconds no longer count. */
     private static final long AFTER_RETENTION_MS = 120_000;
 
     private final ScriptedCell mCell = new ScriptedCell();
@@ -39,7 +42,9 @@
         mCell.answerAsReplacement(ms + 10, start.target().id());
     }
 
-    /** The job starts on a target that falls silent until the lease of its run is over. */
+    /**
+     * The job starts on a target that becomes unresponsive until the lease of the run has expired.
+     */
     private TargetInfo startAndLetLeaseExpire() {
         mCell.offer(10, JOB, 1);
         CellAction.StartRun start = mCell.starts().get(0);
@@ -60,20 +65,18 @@
         assertThat(mCell.verdicts().get(0)).isInstanceOf(Verdict.InDoubt.class);
     }
 
-    /**
-     * Guards against an order that its target never took being counted as a crash under the task.
-     */
+    /** Guards against counting a start order that its target never accepted as a crash. */
     @Test
     void orderToReplacedTargetIsNotACrash() {
         mCell.offer(10, JOB, 1);
         startAndCrash(12);
-        CellAction.StartRun notTaken = mCell.starts().get(1);
-        mCell.answerAsReplacement(40, notTaken.target().id());
+        CellAction.StartRun notAccepted = mCell.starts().get(1);
+        mCell.answerAsReplacement(40, notAccepted.target().id());
         assertThat(mCell.verdicts()).isEmpty();
         assertThat(mCell.actions(CellAction.BroadcastCrash.class)).hasSize(1);
     }
 
-    /** The caller's connection broke, and it hands the job in again after a while. */
+    /** The caller's connection broke, and the caller submits the job again after a while. */
     @Test
     void resubmittedJobIsNotStarted() {
         mCell.offer(10, JOB, 1);
@@ -87,7 +90,7 @@
         assertThat(mCell.starts()).isEmpty();
     }
 
-    /** The other VMs are told: the next controller may be any of them. */
+    /** Crashes are broadcast to the other VMs, since the next controller may be any of them. */
     @Test
     void nextControllerKnowsEarlierCrashes() {
         reportCrash("t0", CrashEvidence.CONFIRMED);
@@ -99,7 +102,7 @@
         assertThat(mCell.verdicts().get(0)).isInstanceOf(Verdict.InDoubt.class);
     }
 
-    /** Guards against one crash that two controllers have found being counted twice. */
+    /** Guards against counting a crash twice that two controllers have found. */
     @Test
     void crashReportedTwiceCountsOnce() {
         reportCrash("t0", CrashEvidence.CONFIRMED);
@@ -109,7 +112,9 @@
         assertThat(mCell.verdicts()).isEmpty();
     }
 
-    /** Guards against a job shown as failed though no target has confirmed a run of it. */
+    /**
+     * Guards against ending a job after too few crashes when no target has confirmed a run of it.
+     */
     @Test
     void threeUnconfirmedCrashesDoNotEndJob() {
         for (String target : List.of("c1", "c2", "c3")) {
@@ -120,7 +125,7 @@
         assertThat(mCell.verdicts()).isEmpty();
     }
 
-    /** Guards against a task that crashes its targets before they answer being started for ever. */
+    /** Guards against starting a task for ever that crashes its targets before they answer. */
     @Test
     void fourUnconfirmedCrashesEndJobInDoubt() {
         for (String target : List.of("c1", "c2", "c3", "c4")) {
@@ -131,9 +136,7 @@
         assertThat(mCell.verdicts().get(0)).isInstanceOf(Verdict.InDoubt.class);
     }
 
-    /**
-     * Guards against a start of a task that another VM has found to crash its targets meanwhile.
-     */
+    /** Guards against starting a task that another VM has meanwhile found to crash its targets. */
     @Test
     void waitingJobEndsWhenCrashesAreReported() {
         mCell.offer(10, OTHER_JOB, 4);
@@ -145,7 +148,7 @@
         assertThat(mCell.verdicts().get(0)).isInstanceOf(Verdict.InDoubt.class);
     }
 
-    /** Guards against a task started for ever since no successor of its targets is seen. */
+    /** Guards against starting a task for ever because no successor of its targets is seen. */
     @Test
     void expiredLeasesWithoutSuccessorLimitStarts() {
         TargetInfo[] targets = new TargetInfo[8];
@@ -158,11 +161,11 @@
         }
         mCell.on(300, new CellEvent.Ticked());
         mCell.offer(310, JOB, 1);
-        int taken = 0;
+        int accepted = 0;
         for (long ms = 320; ms <= 40_000; ms += 10) {
             mCell.on(ms, new CellEvent.Ticked());
-            for (; taken < mCell.starts().size(); taken++) {
-                mCell.acceptStart(ms, mCell.starts().get(taken));
+            for (; accepted < mCell.starts().size(); accepted++) {
+                mCell.acceptStart(ms, mCell.starts().get(accepted));
             }
             if (ms % 100 == 0) {
                 for (TargetInfo target : targets) {
@@ -176,7 +179,7 @@
         assertThat(mCell.verdicts()).hasSize(1);
     }
 
-    /** Guards against a lost answer to a start being taken for a confirmed run. */
+    /** Guards against treating a start whose answer was lost as a confirmed run. */
     @Test
     void unconfirmedRunIsPossibleCrashCause() {
         mCell.offer(10, JOB, 1);
@@ -187,44 +190,51 @@
                 .containsExactly(crash(start.target().id(), CrashEvidence.POSSIBLE));
     }
 
-    /** Guards against late word of a crash under a task that is done by now. */
+    /** Guards against ending a job for a late crash report about a task that is done by now. */
     @Test
     void lateCrashReportDoesNotEndJobOfFinishedTask() {
-        CellAction.StartRun lapsed = restartAfterLeaseExpiry(2);
-        CellAction.StartRun again =
+        CellAction.StartRun expiredStart = restartAfterLeaseExpiry(2);
+        CellAction.StartRun secondStart =
                 mCell.starts().subList(2, 4).stream()
                         .filter(start -> start.task().equals(TASK))
                         .findFirst()
                         .orElseThrow();
-        TargetReport.EndedRun done = new TargetReport.EndedRun(1, TASK, again.run(), EndCause.DONE);
-        mCell.report(LEASE_EXPIRED_MS + 100, again.target().id(), List.of(), List.of(done));
+        TargetReport.EndedRun done =
+                new TargetReport.EndedRun(1, TASK, secondStart.run(), EndCause.DONE);
+        mCell.report(LEASE_EXPIRED_MS + 100, secondStart.target().id(), List.of(), List.of(done));
         reportCrash("c1", CrashEvidence.CONFIRMED);
-        mCell.listed(LEASE_EXPIRED_MS + 400, again.target(), successorOf(lapsed.target()));
+        mCell.listed(
+                LEASE_EXPIRED_MS + 400, secondStart.target(), successorOf(expiredStart.target()));
         assertThat(mCell.actions(CellAction.BroadcastCrash.class))
-                .contains(crash(lapsed.target().id(), CrashEvidence.CONFIRMED));
+                .contains(crash(expiredStart.target().id(), CrashEvidence.CONFIRMED));
         assertThat(mCell.verdicts()).isEmpty();
     }
 
-    /** Guards against late word of a crash ending a run that is at work. */
+    /** Guards against stopping an active run because of a late crash report. */
     @Test
     void lateCrashReportDoesNotStopActiveRun() {
-        CellAction.StartRun lapsed = restartAfterLeaseExpiry(1);
-        CellAction.StartRun again = mCell.starts().get(1);
+        CellAction.StartRun expiredStart = restartAfterLeaseExpiry(1);
+        CellAction.StartRun secondStart = mCell.starts().get(1);
         reportCrash("c1", CrashEvidence.CONFIRMED);
-        mCell.listed(LEASE_EXPIRED_MS + 400, again.target(), successorOf(lapsed.target()));
+        mCell.listed(
+                LEASE_EXPIRED_MS + 400, secondStart.target(), successorOf(expiredStart.target()));
         assertThat(mCell.actions(CellAction.BroadcastCrash.class))
-                .containsExactly(crash(lapsed.target().id(), CrashEvidence.CONFIRMED));
+                .containsExactly(crash(expiredStart.target().id(), CrashEvidence.CONFIRMED));
         assertThat(mCell.verdicts()).isEmpty();
         assertThat(mCell.actions(CellAction.StopRun.class)).isEmpty();
     }
 
-    /** Guards against a given-up task that starts again when its last run ends. */
+    /**
+     * Guards against starting a task again that reached a crash limit while its last run was
+     * active.
+     */
     @Test
     void taskIsNotRestartedWhenActiveRunIsLost() {
-        CellAction.StartRun lapsed = restartAfterLeaseExpiry(1);
-        CellAction.StartRun again = mCell.starts().get(1);
+        CellAction.StartRun expiredStart = restartAfterLeaseExpiry(1);
+        CellAction.StartRun secondStart = mCell.starts().get(1);
         reportCrash("c1", CrashEvidence.CONFIRMED);
-        mCell.listed(LEASE_EXPIRED_MS + 400, again.target(), successorOf(lapsed.target()));
+        mCell.listed(
+                LEASE_EXPIRED_MS + 400, secondStart.target(), successorOf(expiredStart.target()));
         mCell.ticks(LEASE_EXPIRED_MS + 410, 2 * LEASE_EXPIRED_MS + 400);
         assertThat(mCell.starts()).hasSize(2);
         assertThat(mCell.verdicts()).hasSize(1);
@@ -242,27 +252,30 @@
         return ScriptedCell.target("t9", gone.address(), "a", 2_000);
     }
 
-    /** The first target lapses with all tasks of the job, which another target takes then. */
+    /**
+     * The leases of the first target expire with all tasks of the job, which then start on another
+     * target.
+     */
     private CellAction.StartRun restartAfterLeaseExpiry(int tasks) {
         mCell.offer(10, JOB, tasks);
-        CellAction.StartRun lapsed = mCell.starts().get(0);
-        TargetInfo other = lapsed.target().equals(FIRST) ? SECOND : FIRST;
+        CellAction.StartRun expiredStart = mCell.starts().get(0);
+        TargetInfo other = expiredStart.target().equals(FIRST) ? SECOND : FIRST;
         mCell.starts().forEach(start -> mCell.acceptStart(12, start));
-        int ordered = tasks;
+        int acceptedStarts = tasks;
         for (long ms = 20; ms <= LEASE_EXPIRED_MS; ms += 10) {
             mCell.on(ms, new CellEvent.Ticked());
-            for (; ordered < mCell.starts().size(); ordered++) {
-                mCell.acceptStart(ms, mCell.starts().get(ordered));
+            for (; acceptedStarts < mCell.starts().size(); acceptedStarts++) {
+                mCell.acceptStart(ms, mCell.starts().get(acceptedStarts));
             }
             if (ms % 100 == 0) {
                 mCell.report(ms, other.id(), activeRunsOn(other), List.of());
             }
         }
         assertThat(mCell.starts()).hasSize(2 * tasks);
-        return lapsed;
+        return expiredStart;
     }
 
-    /** Guards against crashes and lapses that count however long ago they were. */
+    /** Guards against crashes that count however long ago they were. */
     @Test
     void oldCrashesDoNotCount() {
         reportCrash("c1", CrashEvidence.CONFIRMED);
@@ -271,7 +284,7 @@
         assertThat(mCell.verdicts()).isEmpty();
     }
 
-    /** Guards against a lapse that counts as a crash however long ago it was. */
+    /** Guards against an expired lease that counts as a crash however long ago it expired. */
     @Test
     void oldLeaseExpiryIsNotACrash() {
         TargetInfo gone = startAndLetLeaseExpire();
@@ -287,7 +300,7 @@
         return new CellAction.BroadcastCrash(TASK, target, evidence);
     }
 
-    /** One that has crashed a target would take others' tasks with it if they ran beside it. */
+    /** A task that has crashed a target would take others' tasks with it if they ran beside it. */
     @Test
     void suspectTaskRunsAlone() {
         reportCrash("t0", CrashEvidence.POSSIBLE);
@@ -299,27 +312,29 @@
         assertThat(mCell.startedOn().subList(1, 3)).doesNotContain(alone);
     }
 
-    /** Its targets were beyond a cut and answer again: nothing has crashed. */
+    /** The target was cut off by a network partition and answers again: nothing has crashed. */
     @Test
     void leaseExpiryAloneIsNotACrash() {
-        TargetInfo silent = startAndLetLeaseExpire();
-        mCell.report(LEASE_EXPIRED_MS + 10, silent.id(), List.of(), List.of());
+        TargetInfo unresponsive = startAndLetLeaseExpire();
+        mCell.report(LEASE_EXPIRED_MS + 10, unresponsive.id(), List.of(), List.of());
         mCell.listed(
                 LEASE_EXPIRED_MS + 20, FIRST, SECOND, ScriptedCell.target("t9", "x:9", "a", 2_000));
         assertThat(mCell.actions(CellAction.BroadcastCrash.class)).isEmpty();
     }
 
-    /** Its lease lapsed first; seconds later another incarnation is listed in its place. */
+    /**
+     * The lease expires first; seconds later another incarnation is listed at the target's address.
+     */
     @Test
     void leaseExpiryIsACrashOnceSuccessorIsListed() {
         TargetInfo gone = startAndLetLeaseExpire();
-        TargetInfo reborn = ScriptedCell.target("t9", gone.address(), "a", 2_000);
-        mCell.listed(LEASE_EXPIRED_MS + 10, reborn);
+        TargetInfo successor = ScriptedCell.target("t9", gone.address(), "a", 2_000);
+        mCell.listed(LEASE_EXPIRED_MS + 10, successor);
         assertThat(mCell.actions(CellAction.BroadcastCrash.class))
                 .containsExactly(crash(gone.id(), CrashEvidence.CONFIRMED));
     }
 
-    /** It was leaving as planned, and what ran there was killed with it. */
+    /** The target was draining, and its runs were killed when it left. */
     @Test
     void drainingTargetHasNotCrashed() {
         mCell.offer(10, JOB, 1);
@@ -329,7 +344,7 @@
         assertThat(mCell.actions(CellAction.BroadcastCrash.class)).isEmpty();
     }
 
-    /** Guards against a planned leave whose lease lapses first being counted as a crash. */
+    /** Guards against counting a planned leave as a crash when the lease expires first. */
     @Test
     void drainingTargetHasNotCrashedWhenLeaseExpires() {
         mCell.offer(10, JOB, 1);
@@ -342,7 +357,10 @@
         assertThat(mCell.actions(CellAction.BroadcastCrash.class)).isEmpty();
     }
 
-    /** A crashed target is back at once as a sound one: the task was at fault, not the target. */
+    /**
+     * The successor of a crashed target is healthy and used at once: the task was at fault, not the
+     * target.
+     */
     @Test
     void healthySuccessorIsUsedImmediately() {
         mCell.offer(10, JOB, 1);
--- a/core/src/test/java/org/boragegap/core/cell/EvacuationTest.java
+++ b/core/src/test/java/org/boragegap/core/cell/EvacuationTest.java
@@ -8,8 +8,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Operators empty a failure domain before they take its power away. What was started there after
- * their request is killed with it: callers get no answer, though other domains had room.
+ * Operators evacuate a failure domain before they cut its power. A task that is started there after
+ * their request is killed, and its caller gets no answer, though other domains had free capacity.
  */
 final class EvacuationTest {
     private static final TargetInfo IN_A = ScriptedCell.target("t1", "x:1", "a", 2_000);
@@ -59,7 +59,8 @@
     }
 
     /**
-     * A task was at work when the request came: stopped, its caller would wait for a second run.
+     * A task was running when the request came: if it were stopped, its caller would wait for a
+     * second run.
      */
     @Test
     void runningTaskIsNotStopped() {
@@ -76,7 +77,10 @@
         assertThat(mCell.verdicts()).containsExactly(new Verdict.Completed());
     }
 
-    /** All domains are emptied: who waits, and who comes, is told so at once. */
+    /**
+     * All domains are evacuated: jobs that wait and jobs that arrive later are declined
+     * immediately.
+     */
     @Test
     void jobsAreDeclinedWhenAllDomainsAreEvacuated() {
         mCell.evacuate(0);
@@ -93,8 +97,8 @@
     }
 
     /**
-     * A process starts in the middle of an evacuation and is dealt the cell before it has read what
-     * operators ask for.
+     * A process starts in the middle of an evacuation and is assigned the cell before it has read
+     * which domains are evacuated.
      */
     @Test
     void nothingStartsBeforeEvacuationsAreKnown() {
--- a/core/src/test/java/org/boragegap/core/cell/FakePlatform.java
+++ b/core/src/test/java/org/boragegap/core/cell/FakePlatform.java
@@ -9,7 +9,8 @@
 import java.util.SplittableRandom;
 
 /**
- * What a history's store says of targets and of what operators want, and the targets themselves.
+ * The platform in a simulation: the store's lists of targets and of evacuated domains, and the
+ * targets themselves.
  */
 final class FakePlatform {
     static final int TASK_CPU = 1_000;
@@ -19,7 +20,7 @@
     private static final int UNLISTED_PERCENT = 40;
     private static final long STEP_MS = 5;
 
-    /** A crashed target is back after this time, in ms, under another id at the same address. */
+    /** After this time, in ms, a crashed target is back at the same address with another id. */
     private static final long RESTART_DELAY_MS = 500;
 
     private static final long MIN_MASS_RESTART_DELAY_MS = 300;
@@ -51,7 +52,7 @@
         mTargets.put(id, FakeTarget.createRandom(id, address, domain, mRandom, TASK_CPU, mOracle));
     }
 
-    /** Moves the targets' time on, from now on. */
+    /** Starts advancing the targets' time periodically. */
     void begin() {
         mTargets.values().forEach(target -> target.advanceTo(mClock.nowMs()));
         mClock.after(STEP_MS, this::begin);
@@ -65,12 +66,12 @@
         return mTargets.keySet().stream().sorted().toList();
     }
 
-    /** Some of the targets' ids. */
+    /** The ids of about half of the targets, chosen at random. */
     List<String> randomTargets() {
         return ids().stream().filter(id -> mRandom.nextBoolean()).toList();
     }
 
-    /** The list of targets as the store has it. */
+    /** The targets that the store lists. */
     List<TargetInfo> listedTargets() {
         List<TargetInfo> infos = new ArrayList<>();
         for (FakeTarget target : mTargets.values()) {
@@ -81,18 +82,21 @@
         return infos;
     }
 
-    /** Failure domains that operators want emptied. */
+    /** Failure domains that operators are evacuating. */
     Set<String> evacuatedDomains() {
         return Set.copyOf(mEvacuated);
     }
 
-    /** A target crashes, and is back as another incarnation. */
+    /** Crashes a random target, which comes back as another incarnation. */
     void crashOne() {
         List<String> ids = ids();
         crash(mTargets.get(ids.get(mRandom.nextInt(ids.size()))), RESTART_DELAY_MS);
     }
 
-    /** Some targets crash at once; each is back at a time of its own as another incarnation. */
+    /**
+     * Crashes some targets at the same time; each comes back as another incarnation after a delay
+     * of its own.
+     */
     void crashSome() {
         long span = MAX_MASS_RESTART_DELAY_MS - MIN_MASS_RESTART_DELAY_MS + 1;
         for (String id : randomTargets()) {
@@ -108,7 +112,7 @@
         }
     }
 
-    /** True when a target stands at the address, whatever its id. */
+    /** True when a target is alive at the address, whatever its id. */
     boolean isTargetAliveAt(String address) {
         return mTargets.values().stream()
                 .anyMatch(target -> target.alive() && target.info().address().equals(address));
@@ -121,7 +125,7 @@
         mClock.after(forMs, () -> mUnlisted.removeAll(some));
     }
 
-    /** Targets' room shrinks and grows while they run. */
+    /** Shrinks or grows the capacity of some targets while tasks run there. */
     void resizeSome() {
         for (String id : randomTargets()) {
             int tasks = 1 + mRandom.nextInt(MAX_TASKS_PER_TARGET);
@@ -129,7 +133,7 @@
         }
     }
 
-    /** Operators want a domain emptied, and take it back after a while. */
+    /** Evacuates a random domain, and cancels the evacuation after the given time. */
     void evacuateOne(long forMs) {
         String domain = domain(mRandom.nextInt(DOMAINS));
         if (!mEvacuated.add(domain)) {
--- a/core/src/test/java/org/boragegap/core/cell/FakeTarget.java
+++ b/core/src/test/java/org/boragegap/core/cell/FakeTarget.java
@@ -8,12 +8,15 @@
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 
-/** A target that starts whatever it is told to, as the platform's protocol has it. */
+/** A target that starts everything that it is ordered to, as the platform's protocol allows. */
 final class FakeTarget {
     static final long MAX_LEASE_MS = 1_000;
     private static final int STOP_MS = 30;
 
-    /** How long a room that has shrunk counts: the platform's window and a heartbeat, in ms. */
+    /**
+     * How long an earlier, larger capacity remains valid, in ms: the platform's window and a
+     * heartbeat.
+     */
     private static final long OLD_CAPACITY_VALID_MS = 5_500;
 
     private static final class Running {
@@ -40,7 +43,7 @@
         }
     }
 
-    /** An earlier room, and until when it counts beside the present one. */
+    /** An earlier capacity, and until when it is valid beside the current one. */
     private record EarlierCapacity(int cpuMillis, long validUntilMs) {}
 
     private TargetInfo mInfo;
@@ -65,7 +68,7 @@
         mOracle = oracle;
     }
 
-    /** A target for two tasks whose clock is up to 1.5% slow. */
+    /** Creates a target with capacity for two tasks and a clock that is up to 1.5% slow. */
     static FakeTarget createRandom(
             String id,
             String address,
@@ -73,10 +76,10 @@
             SplittableRandom random,
             int taskCpu,
             InvariantChecker oracle) {
-        int room = 2 * taskCpu;
+        int capacity = 2 * taskCpu;
         TargetInfo info =
                 new TargetInfo(
-                        id, address, "service", domain, room, 100, 0, Set.of(), false, false);
+                        id, address, "service", domain, capacity, 100, 0, Set.of(), false, false);
         double rate = 0.985 + random.nextDouble() * 0.015;
         return new FakeTarget(info, rate, taskCpu, oracle);
     }
@@ -89,7 +92,7 @@
         return mAlive;
     }
 
-    /** Its room changes; a larger one of before counts for a while. */
+    /** Changes the capacity; an earlier, larger one remains valid for a while. */
     void resize(int cpuMillis, long nowMs) {
         mEarlierCapacities.add(
                 new EarlierCapacity(mInfo.cpuMillis(), nowMs + OLD_CAPACITY_VALID_MS));
@@ -108,13 +111,13 @@
     }
 
     private int effectiveCapacity() {
-        int room = mInfo.cpuMillis();
+        int capacity = mInfo.cpuMillis();
         for (EarlierCapacity earlier : mEarlierCapacities) {
             if (mNowMs <= earlier.validUntilMs()) {
-                room = Math.max(room, earlier.cpuMillis());
+                capacity = Math.max(capacity, earlier.cpuMillis());
             }
         }
-        return room;
+        return capacity;
     }
 
     private long clock() {
@@ -135,7 +138,7 @@
         }
         mFence = order.fence();
         extendTo(order.untilMs());
-        mEnded.removeIf(row -> row.endSequence() <= order.acknowledged());
+        mEnded.removeIf(endedRun -> endedRun.endSequence() <= order.acknowledged());
         mPendingCalls.add(new PendingCall(mNowMs + order.waitMs(), order.call(), reply));
         answerPendingCalls();
     }
@@ -191,14 +194,17 @@
         reply.accept(new CellEvent.StopAnswered(mInfo.id(), order.task(), order.run(), taken));
     }
 
-    /** Moves its time on: ends what is over, lets the lease lapse, answers waiting calls. */
+    /**
+     * Advances the target's time: ends runs that are over or whose lease has expired, and answers
+     * pending calls.
+     */
     void advanceTo(long nowMs) {
         mNowMs = nowMs;
-        boolean lapsed = clock() >= mLeaseEndMs;
+        boolean leaseExpired = clock() >= mLeaseEndMs;
         for (TaskName task : List.copyOf(mRunning.keySet())) {
             Running running = mRunning.get(task);
-            if (lapsed || nowMs >= running.mEndsMs) {
-                end(task, running, lapsed ? EndCause.LAPSED : running.mCause);
+            if (leaseExpired || nowMs >= running.mEndsMs) {
+                end(task, running, leaseExpired ? EndCause.LAPSED : running.mCause);
             }
         }
         answerPendingCalls();
@@ -221,8 +227,9 @@
     }
 
     private TargetReport report() {
-        List<TargetReport.ActiveRun> rows = new ArrayList<>();
-        mRunning.forEach((task, run) -> rows.add(new TargetReport.ActiveRun(task, run.mRun, 50)));
-        return new TargetReport(clock(), rows, List.copyOf(mEnded));
+        List<TargetReport.ActiveRun> activeRuns = new ArrayList<>();
+        mRunning.forEach(
+                (task, run) -> activeRuns.add(new TargetReport.ActiveRun(task, run.mRun, 50)));
+        return new TargetReport(clock(), activeRuns, List.copyOf(mEnded));
     }
 }
--- a/core/src/test/java/org/boragegap/core/cell/IdleTargetsTest.java
+++ b/core/src/test/java/org/boragegap/core/cell/IdleTargetsTest.java
@@ -11,9 +11,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Calm hours on a deployment of hundreds of targets: most run nothing, and the controllers used
- * more processor on asking them for reports than on the jobs. What runs on a target needs a lease
- * that is extended, and its end has to be heard of at once; where nothing runs, neither holds.
+ * Quiet hours on a deployment of hundreds of targets: most are idle, and the controllers spent more
+ * processor time on requesting reports from them than on the jobs. Where something runs, the lease
+ * has to be extended and the end has to be noticed immediately; an idle target needs neither.
  */
 final class IdleTargetsTest {
     private static final long DURATION_MS = 12_000;
@@ -24,26 +24,32 @@
                 new LoadSimulation(arrivals, DURATION_MS, LoadSimulation.LostOrders.none());
         LoadSimulation.Score score = cell.simulate();
         System.out.printf(
-                "%.0f jobs/s: %.2f lease calls a second and target, in time %.3f%n",
+                "%.0f jobs/s: %.2f lease calls per second and target, in time %.3f%n",
                 jobsPerS, cell.leaseCallsPerTarget(), score.inTimeShare());
         assertThat(cell.violations()).isEmpty();
         assertThat(score.inTimeShare()).isAtLeast(0.99);
         return cell;
     }
 
-    /** A job in 10 s for each target, as at night. It was 3.3 calls a second before. */
+    /**
+     * One job per target in 10 s, as at night. Polled as often as busy targets, idle ones got 3.3
+     * calls a second.
+     */
     @Test
     void idleTargetsArePolledOncePerSecond() {
         assertThat(simulate(3).leaseCallsPerTarget()).isAtMost(1.6);
     }
 
-    /** Half of what the targets can do, as on a quiet day: each end is heard of as before. */
+    /**
+     * Half of the targets' capacity, as on a quiet day: the end of each run is still noticed at
+     * once.
+     */
     @Test
     void typicalLoadIsServedInTime() {
         simulate(60);
     }
 
-    /** One target, its calls and answers at stated times. */
+    /** A single target, whose calls and answers come at given times. */
     @Nested
     final class OneTarget {
         private static final TargetInfo TARGET =
@@ -103,9 +109,9 @@
         }
 
         /**
-         * A task of 900 ms starts on a target that ran nothing, while the standing call may be held
-         * back until its lease is over. Without a further call the task is killed at work; its
-         * caller waits for the second run.
+         * A task of 900 ms starts on an idle target, while the long poll may be held back until the
+         * task's lease has expired. Without a further call the task is killed while it runs, and
+         * its caller waits for a second run.
          */
         @Test
         void leaseOfLongRunIsExtendedInTime() {
@@ -125,24 +131,24 @@
         }
 
         /**
-         * Answers take 60 ms. The target holds its standing call for a second, and the lease that
-         * the call gave is over before the answer can be there. Taken for lost, a sound target got
-         * no work at the end of each idle second.
+         * Answers take 60 ms. The target holds back the long poll for a second, and the lease that
+         * the call granted expires before the answer can arrive. When the target was taken for
+         * lost, a healthy target got no work at the end of each idle second.
          */
         @Test
         void idleTargetWithExpiredLeaseGetsWork() {
             idleTarget(60);
-            CellAction.ExtendLease standing = lastCall();
+            CellAction.ExtendLease longPoll = lastCall();
             ticks(70, 1_150);
-            assertThat(standing.untilMs()).isLessThan(1_100);
-            assertThat(lastCall()).isEqualTo(standing);
+            assertThat(longPoll.untilMs()).isLessThan(1_100);
+            assertThat(lastCall()).isEqualTo(longPoll);
             offer(1_155, "00000000000000a2");
             assertThat(starts()).hasSize(1);
         }
 
         /**
-         * A target dies while it runs nothing. Its standing call is overdue, then one more that may
-         * be held back for 300 ms; from then on it is given nothing.
+         * A target dies while it is idle. Its long poll is overdue, then another one that may be
+         * held back for 300 ms; from then on it is given no work.
          */
         @Test
         void unresponsiveIdleTargetGetsNoWork() {
--- a/core/src/test/java/org/boragegap/core/cell/ReplacedTargetTest.java
+++ b/core/src/test/java/org/boragegap/core/cell/ReplacedTargetTest.java
@@ -8,7 +8,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A target was replaced by another incarnation, and an answer to a start is the first to say so.
+ * A target is replaced by another incarnation; in some cases the answer to a start is the first
+ * sign of it.
  */
 final class ReplacedTargetTest {
     private static final String JOB = "00000000000000d1";
@@ -34,7 +35,7 @@
             mStart = mCell.starts().get(0);
         }
 
-        /** Guards against a task ordered again and again to an incarnation that is gone. */
+        /** Guards against ordering a task again and again from an incarnation that is gone. */
         @Test
         void taskStartsOnAnotherTarget() {
             mCell.answer(12, mStart, OrderResult.OTHER_INCARNATION);
@@ -43,7 +44,7 @@
             assertThat(startedOn.get(1)).isNotEqualTo(startedOn.get(0));
         }
 
-        /** Guards against the order that told of the replacement being counted as a crash. */
+        /** Guards against counting the start that revealed the replacement as a crash. */
         @Test
         void orderIsNotACrash() {
             mCell.answer(12, mStart, OrderResult.OTHER_INCARNATION);
@@ -55,7 +56,7 @@
     class AnotherTaskRunsThere {
         private static final String OTHER_JOB = "00000000000000d2";
 
-        /** Guards against a caller waiting for a run that is known to be gone with its target. */
+        /** Guards against a caller waiting for a run that is known to be lost with its target. */
         @Test
         void lostRunRestartsElsewhereImmediately() {
             mCell.offer(10, OTHER_JOB, 1);
@@ -80,21 +81,24 @@
 
     @Nested
     class AllTargetsReplaced {
-        /** Guards against a refusal as impossible while all targets that could hold it restart. */
+        /**
+         * Guards against declining a job as infeasible while all targets that could hold it
+         * restart.
+         */
         @Test
         void jobWaitsForSuccessors() {
             mCell.answerAsReplacement(100, FIRST.id());
             mCell.answerAsReplacement(100, SECOND.id());
             mCell.offer(110, JOB, 1);
             assertThat(mCell.verdicts()).isEmpty();
-            TargetInfo reborn = ScriptedCell.target("t9", FIRST.address(), "a", 2_000);
-            mCell.listed(500, reborn);
-            mCell.report(510, reborn.id(), List.of(), List.of());
+            TargetInfo successor = ScriptedCell.target("t9", FIRST.address(), "a", 2_000);
+            mCell.listed(500, successor);
+            mCell.report(510, successor.id(), List.of(), List.of());
             mCell.ticks(520, 800);
             assertThat(mCell.startedOn()).containsExactly("t9");
         }
 
-        /** Guards against a job that waits for targets which don't come back. */
+        /** Guards against a job that waits for targets that don't come back. */
         @Test
         void jobIsDeclinedWhenNoSuccessorComes() {
             mCell.answerAsReplacement(100, FIRST.id());
@@ -110,7 +114,10 @@
         private static final long LEASE_EXPIRED_MS = 7_000;
         private static final TargetInfo SUCCESSOR = ScriptedCell.target("t9", "x:1", "a", 2_000);
 
-        /** The first is found gone, its successor takes a task and falls silent until it lapses. */
+        /**
+         * The first target is replaced; its successor accepts a task and is unresponsive until its
+         * lease expires.
+         */
         private void runOnSuccessorUntilLeaseExpires() {
             mCell.answerAsReplacement(10, FIRST.id());
             mCell.listed(20, ScriptedCell.leaving(SECOND), SUCCESSOR);
@@ -125,7 +132,7 @@
             mCell.clearActions();
         }
 
-        /** Guards against the entry of a target that is gone being taken for a later one. */
+        /** Guards against taking the list entry of a replaced target for a later incarnation. */
         @Test
         void stalePredecessorEntryDoesNotReplaceSuccessor() {
             runOnSuccessorUntilLeaseExpires();
@@ -133,7 +140,7 @@
             assertThat(mCell.actions(CellAction.BroadcastCrash.class)).isEmpty();
         }
 
-        /** Guards against a target that answers being taken for crashed by its own answer. */
+        /** Guards against taking a target for crashed because of its own answer. */
         @Test
         void successorAnsweringForPredecessorHasNotCrashed() {
             mCell.ticks(20, 3_000);
@@ -150,7 +157,7 @@
             assertThat(mCell.actions(CellAction.BroadcastCrash.class)).isEmpty();
         }
 
-        /** Guards against calls to a target that is gone for as long as its entry stands. */
+        /** Guards against calling a replaced target for as long as the list contains it. */
         @Test
         void nothingIsSentToReplacedTarget() {
             mCell.answerAsReplacement(10, FIRST.id());
--- a/core/src/test/java/org/boragegap/core/cell/TargetCapacityChangeTest.java
+++ b/core/src/test/java/org/boragegap/core/cell/TargetCapacityChangeTest.java
@@ -6,8 +6,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Targets say that they have less room, or more, while tasks run there. They start whatever they
- * are told to: one task too many slows down all that run beside it, and their callers wait.
+ * Targets announce less capacity, or more, while tasks run there. They start everything that they
+ * are ordered to: one task too many slows down all that run beside it, and their callers wait.
  */
 final class TargetCapacityChangeTest {
     private static final String JOB = "00000000000000e1";
@@ -52,7 +52,7 @@
         assertThat(mCell.starts()).hasSize(3);
     }
 
-    /** One task has failed for good; the other is stopped and takes its room until it has ended. */
+    /** One task has failed for good; the other is stopped and uses capacity until it has ended. */
     @Test
     void stoppingRunStillUsesCapacity() {
         begin();
@@ -69,7 +69,9 @@
         assertThat(mCell.starts()).hasSize(3);
     }
 
-    /** A new controller hears of runs whose job nobody has offered yet: their size is unknown. */
+    /**
+     * A new controller learns of runs whose job has not been offered yet: their needs are unknown.
+     */
     @Test
     void inheritedRunsCountAgainstCurrentCapacity() {
         TaskName found = new TaskName(JOB, 0, 0, 0);
@@ -83,7 +85,7 @@
         assertThat(mCell.starts()).isEmpty();
     }
 
-    /** Nothing has started of it, and no target can hold one of its tasks any more. */
+    /** No task of the job has started, and no target can hold one any more. */
     @Test
     void waitingJobThatNoLongerFitsIsDeclined() {
         begin();
--- a/core/src/test/java/org/boragegap/core/cell/UnreachableTargetTest.java
+++ b/core/src/test/java/org/boragegap/core/cell/UnreachableTargetTest.java
@@ -12,7 +12,7 @@
     private static final TargetInfo FIRST = ScriptedCell.target("t1", "x:1", "a", 2_000);
     private static final TargetInfo SECOND = ScriptedCell.target("t2", "x:2", "a", 2_000);
 
-    /** A lease, on a clock that is 2% slow, and some calls. */
+    /** The length of a lease on a clock that is 2% slow, plus some calls. */
     private static final long LEASE_EXPIRED_MS = 1_500;
 
     private final ScriptedCell mCell = new ScriptedCell();
@@ -39,7 +39,10 @@
         }
     }
 
-    /** Guards against runs that wait for ever since calls that were never sent extend a lease. */
+    /**
+     * Guards against runs that are never restarted because calls that were not sent extend their
+     * lease.
+     */
     @Test
     void runsRestartElsewhereAfterLeaseExpiry() {
         refuseConnectionsUntil(LEASE_EXPIRED_MS);
@@ -47,7 +50,7 @@
         assertThat(mCell.startedOn()).containsNoDuplicates();
     }
 
-    /** Guards against orders that go to a target again and again while it takes no connection. */
+    /** Guards against sending orders again and again to a target that accepts no connection. */
     @Test
     void unreachableTargetGetsNoWork() {
         refuseConnectionsUntil(300);
@@ -56,13 +59,17 @@
         assertThat(mCell.startedOn()).doesNotContain(mStart.target().id());
     }
 
-    /** Guards against a sound target that stays out of use when it is back after a cut. */
+    /**
+     * Guards against a healthy target that stays unused when it is reachable again after a network
+     * partition.
+     */
     @Test
     void targetIsUsedAgainOnceItAnswers() {
         refuseConnectionsUntil(300);
         mCell.ticks(310, 420);
-        TargetReport.ActiveRun at = new TargetReport.ActiveRun(mStart.task(), mStart.run(), 50);
-        mCell.report(430, mStart.target().id(), List.of(at), List.of());
+        TargetReport.ActiveRun activeRun =
+                new TargetReport.ActiveRun(mStart.task(), mStart.run(), 50);
+        mCell.report(430, mStart.target().id(), List.of(activeRun), List.of());
         mCell.clearActions();
         mCell.offer(440, "00000000000000e2", 3);
         assertThat(mCell.startedOn()).contains(mStart.target().id());
