--- a/core/src/main/java/org/boragegap/core/cell/LeaseManager.java
+++ b/core/src/main/java/org/boragegap/core/cell/LeaseManager.java
@@ -237,9 +237,8 @@
         if (inOrder) {
             mRuns.reported(target, report, call.sentMs(), exact);
         } else {
-            // Overtaken by a later report. The ends that it lists are valid, but a run that it
-            // doesn't
-            // list may have started since, so it proves no absence.
+            // Overtaken by a later report. The ends that it lists are valid, but a run that
+            // is not listed may have started since, so the report proves no absence.
             mRuns.ended(target, report, exact);
         }
         if (first || target.calls().longPollDue(mTerm.nowMs())) {
--- a/core/src/main/java/org/boragegap/core/cell/Placement.java
+++ b/core/src/main/java/org/boragegap/core/cell/Placement.java
@@ -84,7 +84,8 @@
     }
 
     /**
-     * True when, for each step of the job, some known target could run its tasks if it were idle.
+     * True when, for each step of the job, some known target outside evacuated domains could run
+     * its tasks if it were idle.
      */
     boolean isFeasible(JobRequest request) {
         return request.steps().stream().allMatch(step -> isFeasible(request, step));
--- a/core/src/main/java/org/boragegap/core/cell/Target.java
+++ b/core/src/main/java/org/boragegap/core/cell/Target.java
@@ -20,7 +20,7 @@
     private static final double SPEED_WEIGHT = 0.1;
 
     /**
-     * A run that this controller has not ordered; its needs are unknown until its job is offered.
+     * A run that this controller does not track; its needs are unknown until its job is offered.
      */
     record ForeignRun(TaskName task, int run) {}
 
