--- a/core/src/main/java/org/boragegap/core/claim/ClaimAction.java
+++ b/core/src/main/java/org/boragegap/core/claim/ClaimAction.java
@@ -1,6 +1,6 @@
 package org.boragegap.core.claim;
 
-/** What the claim protocol asks its surroundings to do. */
+/** An action that the claim protocol requests from its caller. */
 public sealed interface ClaimAction {
 
     /**
@@ -19,7 +19,7 @@
     record Append(ViewRecord record) implements ClaimAction {}
 
     /**
-     * Tells what became of a wanted claim.
+     * Reports the outcome of a requested claim.
      *
      * @param key the submission
      * @param outcome the outcome
--- a/core/src/main/java/org/boragegap/core/claim/ClaimLimits.java
+++ b/core/src/main/java/org/boragegap/core/claim/ClaimLimits.java
@@ -1,12 +1,12 @@
 package org.boragegap.core.claim;
 
 /**
- * Times that bound the claim protocol, in milliseconds.
+ * Timeouts and intervals of the claim protocol, in milliseconds.
  *
  * @param idWindowMs how long an id stays valid after its creation
- * @param clockSkewMs how far apart two VMs' wall clocks may be
+ * @param clockSkewMs largest difference between two VMs' wall clocks
  * @param claimTimeoutMs how long a claim waits for acknowledgements
- * @param resendMs pause between two tries of a message that was not answered
+ * @param resendMs interval at which an unanswered message is sent again
  * @param suspectMs silence after which a member is suspected
  * @param logRetentionMs how long the log keeps a record
  */
@@ -18,22 +18,22 @@
         long suspectMs,
         long logRetentionMs) {
 
-    /** Limits that fit today's deployments. */
+    /** Default limits. */
     public static ClaimLimits defaults() {
         return new ClaimLimits(300_000, 1_000, 4_000, 200, 1_000, 3_600_000);
     }
 
-    /** How long a claim is kept: the window, and what clocks may be apart on both sides of it. */
+    /** How long a claim is kept: the id window plus a margin for clock skew at both of its ends. */
     public long claimRetentionMs() {
         return idWindowMs + 5 * clockSkewMs;
     }
 
-    /** Age of the last statement of a view at which its members stop using it. */
+    /** Age of a view's last statement at which its members stop using the view. */
     public long viewExpiryMs() {
         return logRetentionMs - logRetentionMs / 4;
     }
 
-    /** Age of the last statement of a view at which it is stated again. */
+    /** Age of a view's last statement at which a member states the view again. */
     public long restateAfterMs() {
         return logRetentionMs / 4;
     }
--- a/core/src/main/java/org/boragegap/core/claim/ClaimMessage.java
+++ b/core/src/main/java/org/boragegap/core/claim/ClaimMessage.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** What entry VMs of one failure domain say to each other about claims and views. */
+/** A message between entry VMs of one failure domain about claims and views. */
 public sealed interface ClaimMessage {
 
     /**
@@ -23,57 +23,59 @@
     record Granted(long viewUid, ClaimKey key, long attempt) implements ClaimMessage {}
 
     /**
-     * Says that another member holds the submission.
+     * Rejects a request because another claim on the submission exists.
      *
      * @param key the submission
      * @param attempt attempt of the request
-     * @param held the claim that stands
+     * @param held the existing claim
      */
     record Held(ClaimKey key, long attempt, Claim held) implements ClaimMessage {}
 
     /**
-     * Gives up a claim under which nothing was or will be started.
+     * Releases a claim under which nothing was or will be started.
      *
      * @param key the submission
-     * @param attempt the attempt that is given up
+     * @param attempt the attempt that is released
      */
     record Release(ClaimKey key, long attempt) implements ClaimMessage {}
 
     /**
-     * States the sender's view, as a heartbeat and as the answer to a request under another view.
+     * Contains the sender's view; sent as a heartbeat and as the answer to a request made under
+     * another view.
      *
      * @param view the sender's view
      * @param complete whether the sender holds all claims that the view covers
-     * @param statedAgeMs how long ago the view was last stated on the log, as the sender knows
+     * @param statedAgeMs how long ago, as far as the sender knows, the view was last stated on the
+     *     log
      * @param sentMs the sender's monotonic time
-     * @param echoMs the receiver's own time in the last message that the sender had from it; {@link
-     *     #NO_ECHO} if there was none
+     * @param echoMs the receiver's {@code sentMs} from the last message that the sender got from
+     *     it; {@link #NO_ECHO} if there was none
      */
     record ViewIs(DomainView view, boolean complete, long statedAgeMs, long sentMs, long echoMs)
             implements ClaimMessage {
-        /** For a sender that has heard nothing from the receiver yet. */
+        /** Value of {@code echoMs} if the sender has received no such message yet. */
         public static final long NO_ECHO = Long.MIN_VALUE;
     }
 
-    /** Asks for a place in the next view. */
+    /** Asks to be a member of the next view. */
     record Join() implements ClaimMessage {}
 
-    /** Asks for a view without the sender, which will claim nothing any more. */
+    /** Asks for a view without the sender, which makes no more claims. */
     record Leave() implements ClaimMessage {}
 
     /**
-     * Asks a veteran of a view for the claims.
+     * Asks an established member of a view for the claims that it holds.
      *
-     * @param viewUid the view that the asker has installed
-     * @param round number of this try, so that parts of two snapshots aren't mixed
+     * @param viewUid the requester's current view
+     * @param round number of this request, so that parts of two snapshots aren't mixed
      */
     record Fetch(long viewUid, long round) implements ClaimMessage {}
 
     /**
      * A part of the claims that the sender holds.
      *
-     * @param viewUid the view in which they were fetched
-     * @param round the asker's number of the try
+     * @param viewUid view of the fetch request
+     * @param round round of the fetch request
      * @param part number of this part, from 0
      * @param parts how many parts there are
      * @param claims the claims of this part
--- a/core/src/main/java/org/boragegap/core/claim/ClaimOutcome.java
+++ b/core/src/main/java/org/boragegap/core/claim/ClaimOutcome.java
@@ -1,26 +1,26 @@
 package org.boragegap.core.claim;
 
-/** What became of the wish to claim a submission. */
+/** Outcome of a requested claim. */
 public sealed interface ClaimOutcome {
 
     /** This member alone may start the submission's tasks. */
     record Granted() implements ClaimOutcome {}
 
     /**
-     * Another member holds the claim; ask it.
+     * Another member holds the claim and is the one to ask for the answer.
      *
      * @param holder the member
-     * @param reachable whether the holder is part of the current view
+     * @param reachable whether the holder is a member of the current view
      */
     record HeldBy(Member holder, boolean reachable) implements ClaimOutcome {}
 
-    /** The id was used with another body. */
+    /** The id was already used with another body. */
     record Conflict() implements ClaimOutcome {}
 
     /**
-     * Not claimed here, but an earlier submission of the id can't be ruled out.
+     * The claim was not granted, but an earlier submission of the id may have been started.
      *
-     * @param reason one line for the caller
+     * @param reason one line of text for the caller
      */
     record Unknown(String reason) implements ClaimOutcome {}
 }
--- a/core/src/main/java/org/boragegap/core/claim/ClaimProtocol.java
+++ b/core/src/main/java/org/boragegap/core/claim/ClaimProtocol.java
@@ -14,8 +14,8 @@
  * Decides which entry VM of a failure domain may start a submission.
  *
  * <p>A claim is granted when every other member of the domain's view has acknowledged it under that
- * same view. A granted claim never changes hands. docs/DESIGN.md has the tables of states and
- * events and the argument why no submission is granted to two members.
+ * same view. A granted claim is never transferred to another member. docs/DESIGN.md has the tables
+ * of states and events and the argument why no submission is granted to two members.
  */
 public final class ClaimProtocol {
     private static final class PendingClaim {
@@ -46,41 +46,41 @@
     }
 
     /**
-     * Makes the protocol for one run of an entry process.
+     * Creates the protocol for one run of an entry process.
      *
-     * @param self this run
+     * @param self the member that this run is
      * @param domain its failure domain
-     * @param limits times that bound the protocol
-     * @param uids source of random, non-zero view identities
+     * @param limits timeouts and intervals of the protocol
+     * @param uids source of random, non-zero view uids
      */
     public static ClaimProtocol create(
             Member self, String domain, ClaimLimits limits, LongSupplier uids) {
         return new ClaimProtocol(self, domain, limits, uids);
     }
 
-    /** The domain's view as last learned. */
+    /** The failure domain's view as last known here. */
     public Optional<DomainView> view() {
         return mViews.currentView();
     }
 
-    /** True when this member can claim, so that callers may be sent here. */
+    /** True when this member can make claims, so that callers may be routed to it. */
     public boolean ready(ClockReading clock) {
         return mViews.canClaim(clock);
     }
 
-    /** How many submissions are held in memory as claimed. */
+    /** Number of submissions with at least one recorded claim. */
     public int claimsKept() {
         return mTable.size();
     }
 
-    /** How many claims wait for acknowledgements. */
+    /** Number of claims that are waiting for acknowledgements. */
     public int claimsPending() {
         return mPending.size();
     }
 
     /**
-     * Wants the claim of a submission; the verdict comes as a {@link ClaimAction.Resolve}, at the
-     * latest after the claim timeout.
+     * Requests the claim of a submission. The outcome is reported by a {@link ClaimAction.Resolve},
+     * at the latest after the claim timeout. Does nothing while a claim on the key is pending.
      *
      * @param key the submission
      * @param createdMs creation time of its id
@@ -95,9 +95,9 @@
         if (mPending.containsKey(key)) {
             return;
         }
-        Optional<ClaimOutcome> known = immediateOutcome(key, createdMs, fingerprint, clock);
-        if (known.isPresent()) {
-            out.add(new ClaimAction.Resolve(key, known.get()));
+        Optional<ClaimOutcome> immediate = immediateOutcome(key, createdMs, fingerprint, clock);
+        if (immediate.isPresent()) {
+            out.add(new ClaimAction.Resolve(key, immediate.get()));
             return;
         }
         Claim claim = new Claim(key, mSelf, ++mLastAttempt, createdMs, fingerprint);
@@ -118,8 +118,8 @@
         if (!claims.isEmpty()) {
             return Optional.of(outcomeForExisting(claims.get(claims.size() - 1), fingerprint));
         }
-        long coverage = mViews.currentView().map(DomainView::coverageStartMs).orElse(0L);
-        if (createdMs <= coverage) {
+        long coverageStartMs = mViews.currentView().map(DomainView::coverageStartMs).orElse(0L);
+        if (createdMs <= coverageStartMs) {
             return Optional.of(olderThanCoverage());
         }
         return Optional.empty();
@@ -142,7 +142,7 @@
         return new ClaimOutcome.HeldBy(claim.holder(), inView);
     }
 
-    /** Gives up a granted claim under which nothing was started. */
+    /** Releases a granted claim under which nothing was started. */
     public void release(ClaimKey key, List<ClaimAction> out) {
         mTable.findHeldBy(key, mSelf).ifPresent(claim -> releaseClaim(claim, out));
     }
@@ -152,17 +152,17 @@
         sendToOthers(new ClaimMessage.Release(claim.key(), claim.attempt()), out);
     }
 
-    /** Asks the siblings for a view without this member; to be called when all work is done. */
+    /** Asks the other members for a view without this one. Called once all work is done. */
     public void leave(List<ClaimAction> out) {
         sendToOthers(new ClaimMessage.Leave(), out);
     }
 
-    /** True when this member has no siblings in its view, or is in none. */
+    /** True when this member is the only one in its view, or is in no view. */
     public boolean hasNoSiblings() {
         return !mViews.inView() || mViews.currentView().orElseThrow().members().size() == 1;
     }
 
-    /** Takes a peer's message. */
+    /** Handles a peer's message. */
     public void onMessage(
             Member from, ClaimMessage message, ClockReading clock, List<ClaimAction> out) {
         mViews.recordContact(from, clock);
@@ -189,7 +189,7 @@
         }
     }
 
-    /** Takes what a read of the log brought. */
+    /** Handles the result of a read of the log. */
     public void onLog(LogBatch batch, ClockReading clock, List<ClaimAction> out) {
         if (mViews.onLog(batch, clock, out)) {
             onViewChanged(clock, out);
@@ -197,15 +197,15 @@
     }
 
     /**
-     * Takes the platform's word that VMs are gone for good.
+     * Handles VMs that have been missing from the platform's list for a while.
      *
-     * @param addresses peer addresses that are no longer listed
+     * @param addresses peer addresses of all such VMs; replaces the earlier ones
      */
     public void onVmsUnlisted(Set<String> addresses) {
         mViews.onVmsUnlisted(addresses);
     }
 
-    /** Lets time pass: resends, time-outs, heartbeats, view changes. */
+    /** Handles the passage of time: resends, timeouts, heartbeats and view changes. */
     public void onTick(ClockReading clock, List<ClaimAction> out) {
         mViews.onTick(clock, out);
         mTable.expire(clock.monotonicMs(), mLimits.claimRetentionMs());
@@ -221,7 +221,7 @@
 
     private void onViewChanged(ClockReading clock, List<ClaimAction> out) {
         mTransfer.onViewChanged();
-        // Acknowledgements given under the earlier view say nothing about the new one.
+        // Acknowledgements given under the earlier view don't count under the new one.
         for (PendingClaim pending : new ArrayList<>(mPending.values())) {
             pending.mAwaitingAckFrom.clear();
             requestAcknowledgements(pending, clock, out);
@@ -236,10 +236,10 @@
         }
         DomainView view = mViews.currentView().orElseThrow();
         if (pending.mAwaitingAckFrom.isEmpty()) {
-            Optional<ClaimOutcome> ruledOut = rejectedByView(pending.mClaim, view);
-            if (ruledOut.isPresent()) {
+            Optional<ClaimOutcome> rejection = rejectedByView(pending.mClaim, view);
+            if (rejection.isPresent()) {
                 mPending.remove(pending.mClaim.key());
-                out.add(new ClaimAction.Resolve(pending.mClaim.key(), ruledOut.get()));
+                out.add(new ClaimAction.Resolve(pending.mClaim.key(), rejection.get()));
                 return;
             }
             mTable.put(pending.mClaim, clock.monotonicMs());
@@ -257,8 +257,9 @@
     }
 
     /**
-     * What a new view has brought may speak against a claim that was wanted before: a claim by a
-     * member that is gone, or a memory that begins after the id was made.
+     * The outcome of a claim that the view rules out, if it does. A view that came after the claim
+     * was requested may bring a claim by a member that has left, or may not cover the time at which
+     * the id was created.
      */
     private Optional<ClaimOutcome> rejectedByView(Claim claim, DomainView view) {
         if (claim.createdMs() <= view.coverageStartMs()) {
@@ -274,7 +275,8 @@
     }
 
     private static ClaimOutcome olderThanCoverage() {
-        return new ClaimOutcome.Unknown("the id is older than this failure domain's memory");
+        return new ClaimOutcome.Unknown(
+                "the id is older than the claims known in this failure domain");
     }
 
     private void grant(PendingClaim pending, List<ClaimAction> out) {
@@ -284,14 +286,14 @@
     }
 
     /**
-     * Without everyone's acknowledgement it is never said that nothing was run: a later view,
-     * unknown here, may have started the submission a moment ago.
+     * The outcome is unknown, not that nothing was run: without every member's acknowledgement, a
+     * member of a later view that is not known here may already have started the submission.
      */
     private void timeOut(PendingClaim pending, List<ClaimAction> out) {
         ClaimKey key = pending.mClaim.key();
         mPending.remove(key);
         releaseClaim(pending.mClaim, out);
-        String reason = "no agreement within this failure domain";
+        String reason = "not all VMs of this failure domain acknowledged the claim in time";
         out.add(new ClaimAction.Resolve(key, new ClaimOutcome.Unknown(reason)));
     }
 
@@ -304,9 +306,10 @@
             return;
         }
         Claim claim = request.claim();
-        Optional<Claim> rival = conflictingClaim(claim);
-        if (rival.isPresent()) {
-            ClaimMessage held = new ClaimMessage.Held(claim.key(), claim.attempt(), rival.get());
+        Optional<Claim> conflicting = conflictingClaim(claim);
+        if (conflicting.isPresent()) {
+            ClaimMessage held =
+                    new ClaimMessage.Held(claim.key(), claim.attempt(), conflicting.get());
             out.add(new ClaimAction.Send(from.address(), held));
             return;
         }
@@ -318,10 +321,11 @@
     }
 
     /**
-     * The claim that stands against another one, if any.
+     * The recorded claim that prevents an acknowledgement of the given one, if any.
      *
-     * <p>A rival that is a member of the view is asked by the claimant itself, so it doesn't stand
-     * in the way here. One that left the view may have started, and nobody can ask it.
+     * <p>This member's own claim does unless it is pending and loses the tie. A claim by another
+     * member of the view doesn't, since the claimant asks that member itself. A claim by a member
+     * that has left the view does: its holder may have started the tasks and can't be asked.
      */
     private Optional<Claim> conflictingClaim(Claim claim) {
         for (Claim other : mTable.find(claim.key())) {
@@ -353,8 +357,8 @@
     }
 
     private void resolveAsHeld(PendingClaim own, Claim held, List<ClaimAction> out) {
-        ClaimOutcome verdict = outcomeForExisting(held, own.mClaim.fingerprint());
-        out.add(new ClaimAction.Resolve(held.key(), verdict));
+        ClaimOutcome outcome = outcomeForExisting(held, own.mClaim.fingerprint());
+        out.add(new ClaimAction.Resolve(held.key(), outcome));
     }
 
     private void onGranted(
--- a/core/src/main/java/org/boragegap/core/claim/ClaimTable.java
+++ b/core/src/main/java/org/boragegap/core/claim/ClaimTable.java
@@ -8,10 +8,11 @@
 import java.util.Optional;
 
 /**
- * The claims of one failure domain within the id window, in order of arrival.
+ * The claims of one failure domain, in order of arrival, each kept for {@link
+ * ClaimLimits#claimRetentionMs}.
  *
- * <p>Two members that claim the same id at the same moment are both recorded: which of them won is
- * known to those two alone, and either may be the one that started.
+ * <p>If two members claim the same id concurrently, both claims are recorded: only those two
+ * members know which claim won, and either of them may have started the tasks.
  */
 final class ClaimTable {
     private record Entry(List<Claim> claims, long insertedMs) {}
@@ -27,7 +28,7 @@
         return find(key).stream().filter(claim -> claim.holder().equals(holder)).findFirst();
     }
 
-    /** Records a claim, in place of an earlier attempt by the same holder. */
+    /** Records a claim and replaces an earlier attempt by the same holder. */
     void put(Claim claim, long nowMs) {
         List<Claim> others = without(claim.key(), claim.holder());
         if (others.isEmpty()) {
@@ -68,7 +69,11 @@
         return claims;
     }
 
-    /** Drops claims that arrived more than {@code keepMs} ago; arrival order makes this cheap. */
+    /**
+     * Removes claims that arrived more than {@code keepMs} ago. Entries are in order of their first
+     * insertion, so the scan stops at the first one that hasn't expired; entries behind one that
+     * was updated later may stay longer.
+     */
     void expire(long nowMs, long keepMs) {
         Iterator<Entry> entries = mEntries.values().iterator();
         while (entries.hasNext() && entries.next().insertedMs() + keepMs < nowMs) {
--- a/core/src/main/java/org/boragegap/core/claim/ClaimTransfer.java
+++ b/core/src/main/java/org/boragegap/core/claim/ClaimTransfer.java
@@ -6,10 +6,11 @@
 import org.boragegap.core.ClockReading;
 
 /**
- * Brings the claims of a view to its newcomers.
+ * Transfers the claims of a view to its newcomers.
  *
- * <p>A newcomer asks one veteran after the other until it has every part of one snapshot. The
- * veteran has left the earlier view by then, so the snapshot lacks no claim granted under it.
+ * <p>A newcomer asks one established member after the other until it has every part of one
+ * snapshot. An established member that answers has already left the parent view, so its snapshot
+ * has every claim granted under that view.
  */
 final class ClaimTransfer {
     private static final int CLAIMS_PER_PART = 2_000;
@@ -27,7 +28,7 @@
         mLimits = limits;
     }
 
-    /** What was fetched under an earlier view is no snapshot of the new one. */
+    /** Discards the parts fetched under the earlier view; they are no snapshot for the new one. */
     void onViewChanged() {
         mFetchedParts.clear();
         mFetchSentMs = Long.MIN_VALUE / 2;
@@ -40,15 +41,15 @@
         }
         mFetchSentMs = clock.monotonicMs();
         DomainView view = mViews.currentView().orElseThrow();
-        List<Member> veterans = view.establishedMembers();
-        if (veterans.isEmpty()) {
+        List<Member> sources = view.establishedMembers();
+        if (sources.isEmpty()) {
             return;
         }
         mFetchRound++;
         mFetchedParts.clear();
-        Member veteran = veterans.get(mFetchRound % veterans.size());
+        Member source = sources.get(mFetchRound % sources.size());
         ClaimMessage message = new ClaimMessage.Fetch(view.uid(), mFetchRound);
-        out.add(new ClaimAction.Send(veteran.address(), message));
+        out.add(new ClaimAction.Send(source.address(), message));
     }
 
     void onFetch(Member from, ClaimMessage.Fetch fetch, List<ClaimAction> out) {
--- a/core/src/main/java/org/boragegap/core/claim/DomainView.java
+++ b/core/src/main/java/org/boragegap/core/claim/DomainView.java
@@ -4,14 +4,17 @@
 import java.util.Optional;
 
 /**
- * The entry VMs of a failure domain that share claims, as decided by the log's order.
+ * The entry VMs of a failure domain that acknowledge each other's claims. The order of the records
+ * on the log determines which view is current.
  *
- * @param number one more than the parent's
- * @param uid random identity of this view
- * @param parentUid the view it follows, or {@link #NO_PARENT}
- * @param members all members; each of them acknowledges every claim
+ * @param number one more than the parent's; for a view without a parent, the wall-clock time of its
+ *     proposal
+ * @param uid random identifier of this view
+ * @param parentUid uid of the view that it follows, or {@link #NO_PARENT}
+ * @param members all members; a claim needs the acknowledgement of each of them
  * @param newcomers members that did not hold the parent's claims and must fetch them
- * @param coverageStartMs ids created up to here may have been claimed unknown to this view
+ * @param coverageStartMs ids created up to this time may have been claimed without this view's
+ *     members knowing
  */
 public record DomainView(
         long number,
@@ -21,10 +24,10 @@
         List<Member> newcomers,
         long coverageStartMs) {
 
-    /** Parent of a domain's first view. */
+    /** Parent uid of a view that has no parent. */
     public static final long NO_PARENT = 0;
 
-    /** Coverage of a view that knows every claim ever made. */
+    /** Coverage start of a view whose members know every claim ever made. */
     public static final long COVERS_ALL = 0;
 
     /** True when the member is part of this view. */
--- a/core/src/main/java/org/boragegap/core/claim/LoggedView.java
+++ b/core/src/main/java/org/boragegap/core/claim/LoggedView.java
@@ -5,9 +5,9 @@
 /**
  * A view record as read from the log.
  *
- * @param offset its place in the log's order
+ * @param offset its offset on the log
  * @param record the record
- * @param appendedMs the log's own time of the append
+ * @param appendedMs time of the append by the log's clock
  * @param ageMs how long before the read it was appended, by the log's clock
  */
 public record LoggedView(long offset, ViewRecord record, long appendedMs, long ageMs)
--- a/core/src/main/java/org/boragegap/core/claim/ViewLog.java
+++ b/core/src/main/java/org/boragegap/core/claim/ViewLog.java
@@ -6,15 +6,17 @@
 /**
  * Follows the view records of one failure domain in log order.
  *
- * <p>All readers reach the same head: the first proposal that names the head as its parent wins,
- * later ones are void. A reader that doesn't know the log from its beginning starts from a
- * statement: it says what the head was after all records up to an offset, and the reader must have
- * every record after that one. A statement by an author that had not yet read of the next view is
- * harmless so: whoever has the records after its offset sees the next view too.
+ * <p>All readers reach the same current view: the first proposal that names the current view as its
+ * parent takes effect, later ones are ignored. A reader that doesn't have the log from its
+ * beginning starts from a statement. It says what the current view was after all records up to an
+ * offset, and the reader must have every record after that offset. So a statement whose author had
+ * not yet read the next view is harmless: a reader that may use it also has the next view's
+ * proposal.
  *
- * <p>A view that isn't stated again within the log's retention lapses, and only then may a view
- * without a parent follow. Such a view is numbered by the wall clock, so every later lineage has
- * higher numbers than an earlier one, and no reader ever goes back to a lower number.
+ * <p>A view that isn't stated again within the log's retention expires, and only then may a view
+ * without a parent follow. Such a view is numbered by the wall clock, so the numbers of a later
+ * chain of views are higher than those of an earlier one, and no reader ever returns to a lower
+ * number.
  */
 final class ViewLog {
     private static final long STATED_TIME_UNKNOWN = -1;
@@ -35,19 +37,19 @@
         return mCurrentView;
     }
 
-    /** True when the head was read from the log here, and not only told by a peer. */
+    /** True when the current view was read from the log here, not only received from a peer. */
     boolean currentFromLog() {
         return mCurrentFromLog;
     }
 
-    /** True when no view record at all is left that this reader has seen. */
+    /** True when no record that this reader has seen is still retained. */
     boolean empty() {
         return mWindow.isEmpty();
     }
 
     /**
-     * Tells from which offset on everything has been read. A gap means that records were lost to
-     * the log's retention before they were read here: what followed the head is unknown.
+     * Sets the offset from which everything has been read. After a gap, records were deleted by the
+     * log's retention before they were read here, so what followed the current view is unknown.
      */
     void readFrom(long firstOffset, long nowMs) {
         if (mWindow.advanceFirstOffset(firstOffset, nowMs)) {
@@ -56,12 +58,12 @@
         }
     }
 
-    /** Forgets records that have left the log, for {@link #empty()}. */
+    /** Removes records that are no longer on the log, so that {@link #empty()} reflects the log. */
     void forgetBefore(long appendedMs) {
         mWindow.removeBefore(appendedMs);
     }
 
-    /** Applies a record; true when it made or confirmed the head. */
+    /** Applies a record; true when it set or confirmed the current view. */
     boolean apply(LoggedView logged) {
         mWindow.add(logged);
         if (logged.record().kind() == ViewRecord.Kind.STATED) {
@@ -70,7 +72,10 @@
         return applyProposal(logged);
     }
 
-    /** Takes a view that a peer has read from the log; true when it is newer than the head. */
+    /**
+     * Adopts a view that a peer has read from the log if it is newer than the current one; true if
+     * so.
+     */
     boolean adopt(DomainView view) {
         if (!notBelowLowest(view) || isCurrent(view)) {
             return false;
@@ -103,8 +108,8 @@
 
     private boolean applyProposal(LoggedView logged) {
         DomainView view = logged.record().view();
-        boolean confirms = isCurrent(view) && !expiredAt(logged.appendedMs());
-        if (!confirms && !follows(view, logged.appendedMs())) {
+        boolean confirmsCurrent = isCurrent(view) && !expiredAt(logged.appendedMs());
+        if (!confirmsCurrent && !follows(view, logged.appendedMs())) {
             return false;
         }
         setCurrent(view, logged.appendedMs());
@@ -114,9 +119,11 @@
 
     private boolean follows(DomainView view, long appendedMs) {
         if (view.parentUid() == DomainView.NO_PARENT) {
-            boolean free =
+            boolean mayStartChain =
                     mCurrentView.isEmpty() ? mWindow.newestWasOnlyRecord() : expiredAt(appendedMs);
-            return free && appendedPromptly(view, appendedMs) && view.number() > mLowestNumber;
+            return mayStartChain
+                    && appendedPromptly(view, appendedMs)
+                    && view.number() > mLowestNumber;
         }
         return mCurrentView.isPresent()
                 && view.parentUid() == mCurrentView.get().uid()
@@ -124,8 +131,9 @@
     }
 
     /**
-     * Guards against a first view whose append took effect long after it was written: its coverage
-     * would miss the claims made in between. Such a view is numbered by the time it was written.
+     * True when a view without a parent was appended soon after it was proposed. One that was
+     * appended much later must not take effect, because its coverage would miss the claims made in
+     * between. The number of such a view is the time of its proposal.
      */
     private boolean appendedPromptly(DomainView view, long appendedMs) {
         return appendedMs - view.number() < mRetentionMs / APPEND_DELAY_DIVISOR;
@@ -137,8 +145,8 @@
             return confirm(logged);
         }
         boolean newer = mCurrentView.isEmpty() || view.number() > mCurrentView.get().number();
-        boolean known = mWindow.isCompleteAfter(logged.record().asOf());
-        if (!newer || !known || !notBelowLowest(view)) {
+        boolean readAllSince = mWindow.isCompleteAfter(logged.record().asOf());
+        if (!newer || !readAllSince || !notBelowLowest(view)) {
             return false;
         }
         restartFrom(logged);
@@ -154,7 +162,9 @@
         return true;
     }
 
-    /** Takes the stated view as the head after {@code asOf} and applies what came since. */
+    /**
+     * Sets the stated view as the current one after {@code asOf} and applies the later proposals.
+     */
     private void restartFrom(LoggedView statement) {
         setCurrent(statement.record().view(), statement.appendedMs());
         mCurrentFromLog = true;
--- a/core/src/main/java/org/boragegap/core/claim/ViewManager.java
+++ b/core/src/main/java/org/boragegap/core/claim/ViewManager.java
@@ -13,11 +13,12 @@
 import org.boragegap.core.ClockReading;
 
 /**
- * Keeps this member's place in its failure domain's view.
+ * Manages this member's membership in its failure domain's view.
  *
- * <p>A view changes only by a record on the log, and the log's order decides between rivals. A
- * member moves from one view to the next at one instant and acknowledges nothing under a view that
- * it has left, so any one member that is in both views stops the earlier one.
+ * <p>A view changes only by a record on the log, and the order of the log decides between
+ * concurrent proposals. A member moves from one view to the next in a single step and acknowledges
+ * nothing under a view that it has left. So once one common member has moved on, no claim can be
+ * granted under the earlier view.
  */
 final class ViewManager {
     private static final int PROPOSAL_INTERVAL_FACTOR = 5;
@@ -68,9 +69,9 @@
     /**
      * True when this member may claim and acknowledge.
      *
-     * <p>Guards against a view that nobody stated again within the log's retention: a VM that finds
-     * no view on the log starts a new one, unknown to members that were paused or cut off
-     * meanwhile. They stop on their own before that can happen.
+     * <p>A view that isn't stated again within the log's retention expires: a VM that finds no view
+     * on the log then starts a new one, which members that were paused or disconnected don't know
+     * of. This check makes them stop before that can happen.
      */
     boolean canClaim(ClockReading clock) {
         return mHasAllClaims
@@ -78,7 +79,7 @@
                 && clock.monotonicMs() - mLastStatedMs < mLimits.viewExpiryMs();
     }
 
-    /** Takes what the log brought; true when the head changed. */
+    /** Handles a read of the log; true when the current view changed. */
     boolean onLog(LogBatch batch, ClockReading clock, List<ClaimAction> out) {
         Optional<DomainView> before = currentView();
         mReadFromLogStart = batch.firstOffset() == 0;
@@ -106,7 +107,7 @@
         }
     }
 
-    /** Takes a peer's view; true when the head changed. */
+    /** Handles a peer's view; true when the current view changed. */
     boolean onViewIs(
             Member from, ClaimMessage.ViewIs is, ClockReading clock, List<ClaimAction> out) {
         mPeerSentMs.put(from, is.sentMs());
@@ -126,9 +127,10 @@
     }
 
     /**
-     * A VM that is cut off from the log alone learns from its peers when the view was stated. The
-     * message may have lain in a queue while this process was paused; but it was made after the
-     * time of ours that it echoes, so reckoning from there never makes a statement look younger.
+     * Updates the time of the last statement from a peer, for a VM that can reach its peers but not
+     * the log. The message may have been queued while this process was paused. It was sent after
+     * the local time that it echoes, so subtracting the age from that time never makes the
+     * statement look younger than it is.
      */
     private void updateLastStated(ClaimMessage.ViewIs is) {
         boolean sameView = is.view().uid() == currentView().map(DomainView::uid).orElse(0L);
@@ -137,7 +139,7 @@
         }
     }
 
-    /** Tells a peer the view that is known here. */
+    /** Sends the current view to a peer, if there is one. */
     void sendView(Member to, ClockReading clock, List<ClaimAction> out) {
         currentView().ifPresent(view -> out.add(viewMessage(view, to, clock)));
     }
@@ -153,9 +155,10 @@
 
     private void onViewChanged(ClockReading clock, List<ClaimAction> out) {
         DomainView view = currentView().orElseThrow();
-        boolean founder = view.establishedMembers().equals(List.of(mSelf)) && !mHasAllClaims;
-        boolean veteran = view.establishedMembers().contains(mSelf);
-        mHasAllClaims = veteran && (mHasAllClaims || founder);
+        boolean onlyEstablishedMember =
+                view.establishedMembers().equals(List.of(mSelf)) && !mHasAllClaims;
+        boolean established = view.establishedMembers().contains(mSelf);
+        mHasAllClaims = established && (mHasAllClaims || onlyEstablishedMember);
         mPeersWithAllClaims.clear();
         mJoinRequestMs.keySet().removeAll(view.members());
         mDeparted.retainAll(view.members());
@@ -181,8 +184,8 @@
     }
 
     /**
-     * The platform no longer lists the VMs at these addresses, and they are no newcomers to it. The
-     * list may be wrong, so it counts only for members that are silent.
+     * Handles VMs that were listed before and have been missing from the platform's list for a
+     * while. The list may be wrong, so it counts only for members that are also silent.
      */
     void onVmsUnlisted(Set<String> addresses) {
         mUnlisted.clear();
@@ -193,7 +196,7 @@
         }
     }
 
-    /** A member that leaves has finished its work and claims nothing any more. */
+    /** A member that leaves has finished its work and makes no more claims. */
     void onLeave(Member from) {
         if (currentView().isPresent() && currentView().get().contains(from)) {
             mDeparted.add(from);
@@ -207,7 +210,7 @@
         mJoinRequestMs.put(from, clock.monotonicMs());
     }
 
-    /** All claims that the view covers have been fetched. */
+    /** Called when all claims that the view covers have been fetched. */
     void onClaimsFetched() {
         mHasAllClaims = true;
     }
@@ -227,7 +230,10 @@
         }
     }
 
-    /** After a pause of this process, everyone else only seems to have been silent. */
+    /**
+     * Resets the times of last contact after a pause of this process, during which other members
+     * only seemed to be silent.
+     */
     private void resetContactsAfterPause(ClockReading clock) {
         if (clock.monotonicMs() - mLastTickMs > mLimits.suspectMs() / 2) {
             mLastContactMs.replaceAll((member, heardMs) -> clock.monotonicMs());
@@ -255,8 +261,9 @@
     }
 
     /**
-     * Ids up to this time may have been claimed by members whose memory is lost: their clocks, the
-     * clocks of the ids and this clock may each be apart by the bound.
+     * Coverage start of a view that begins without the earlier claims. Ids created up to this time
+     * may have been claimed by members whose claims are lost; the factor of 3 allows for the skew
+     * of their clocks, of the clocks that created the ids, and of this one.
      */
     private long coverageFromNow(ClockReading clock) {
         return clock.wallMs() + 3 * mLimits.clockSkewMs();
@@ -278,7 +285,10 @@
         return mDeparted.contains(member) || mUnlisted.contains(member) && silent(member, clock);
     }
 
-    /** All former members are proved dead, so nothing but coverage is lost by starting afresh. */
+    /**
+     * Proposes a view of this member alone. The other members are presumed dead, so only the
+     * knowledge of their claims is lost, which the coverage start accounts for.
+     */
     private void takeOver(DomainView lost, ClockReading clock, List<ClaimAction> out) {
         propose(
                 new DomainView(
@@ -294,17 +304,18 @@
 
     private void maintainView(ClockReading clock, List<ClaimAction> out) {
         DomainView view = currentView().orElseThrow();
-        boolean oldStatement = clock.monotonicMs() - mLastStatedMs >= mLimits.restateAfterMs();
+        boolean statementDue = clock.monotonicMs() - mLastStatedMs >= mLimits.restateAfterMs();
         boolean fromLog = mLog.currentFromLog();
-        boolean pause = clock.monotonicMs() - mLastRestatementMs >= mLimits.restateAfterMs() / 8;
-        if (oldStatement && pause && fromLog) {
+        boolean intervalPassed =
+                clock.monotonicMs() - mLastRestatementMs >= mLimits.restateAfterMs() / 8;
+        if (statementDue && intervalPassed && fromLog) {
             restateView(clock, out);
         }
         Set<Member> next = nextMembers(view, clock);
-        boolean mine =
+        boolean myTurn =
                 clock.monotonicMs() - lastLeaderContactMs(view, clock)
                         >= proposalDelayMs(view, clock);
-        if (!next.equals(new LinkedHashSet<>(view.members())) && mine) {
+        if (!next.equals(new LinkedHashSet<>(view.members())) && myTurn) {
             proposeNextView(view, next, clock, out);
         }
     }
@@ -316,7 +327,10 @@
                         unsuspectedMembers(view, clock).get(0), clock.monotonicMs());
     }
 
-    /** The first unsuspected member proposes; the others wait until it falls silent. */
+    /**
+     * The first unsuspected member proposes a view at once; the others wait until it has been
+     * silent for the suspect timeout.
+     */
     private long proposalDelayMs(DomainView view, ClockReading clock) {
         return unsuspectedMembers(view, clock).get(0).equals(mSelf) ? 0 : mLimits.suspectMs();
     }
@@ -385,7 +399,10 @@
                 out);
     }
 
-    /** A proposal whose append may be lost is made again; the log's order makes that harmless. */
+    /**
+     * Proposes a view, at most once per interval. A repeated proposal replaces one whose append may
+     * have been lost; if both are appended, the log's order decides between them.
+     */
     private void propose(DomainView next, ClockReading clock, List<ClaimAction> out) {
         long pauseMs = PROPOSAL_INTERVAL_FACTOR * mLimits.resendMs();
         if (clock.monotonicMs() - mLastProposalMs < pauseMs) {
--- a/core/src/main/java/org/boragegap/core/claim/package-info.java
+++ b/core/src/main/java/org/boragegap/core/claim/package-info.java
@@ -1,2 +1,2 @@
-/** Who may start a submission: domain views, claims and their protocol. */
+/** Claims, which determine the VM that may start a submission, and the views they are made in. */
 package org.boragegap.core.claim;
--- a/core/src/main/java/org/boragegap/core/dispatch/Action.java
+++ b/core/src/main/java/org/boragegap/core/dispatch/Action.java
@@ -10,11 +10,11 @@
 import org.boragegap.core.placement.LoanMessage;
 import org.boragegap.core.placement.Target;
 
-/** What a dispatcher asks its surroundings to do. */
+/** An action that a dispatcher requests from its caller. */
 public sealed interface Action {
 
     /**
-     * Gives a caller its one final answer.
+     * Sends a caller its only and final answer.
      *
      * @param caller the caller
      * @param id the submission
@@ -33,12 +33,12 @@
     /**
      * Starts a task on a target.
      *
-     * @param attempt names the attempt within this process
+     * @param attempt number of the attempt, unique within this process
      * @param target the target
      * @param submission the submission
      * @param task the task
-     * @param startByMs monotonic time after which it must not be sent any more
-     * @param timeoutMs how long its result is waited for
+     * @param startByMs monotonic time after which the start must not be sent
+     * @param timeoutMs how long to wait for its result
      */
     record Start(
             long attempt,
@@ -50,10 +50,10 @@
             implements Action {}
 
     /**
-     * Stops an attempt whose result is of no use any more.
+     * Stops an attempt whose result is no longer needed.
      *
      * @param attempt the attempt
-     * @param target where it runs
+     * @param target target on which it runs
      */
     record Stop(long attempt, Target target) implements Action {}
 
@@ -66,7 +66,7 @@
     record SendClaimMessage(String address, ClaimMessage message) implements Action {}
 
     /**
-     * Sends a sibling a message about room on targets.
+     * Sends another entry VM of this failure domain a message about loans of slots on targets.
      *
      * @param address peer address
      * @param message the message
@@ -74,22 +74,22 @@
     record SendLoanMessage(String address, LoanMessage message) implements Action {}
 
     /**
-     * Hands a submission to another entry VM.
+     * Forwards a submission to another entry VM.
      *
-     * @param forwardId names the forward within this process
+     * @param forwardId number of the forward, unique within this process
      * @param address peer address
      * @param submission the submission
-     * @param hops how often it was forwarded, with this one
+     * @param hops how often the submission was forwarded, including this time
      */
     record Forward(long forwardId, String address, Submission submission, int hops)
             implements Action {}
 
     /**
-     * Passes a cancellation on to another entry VM.
+     * Forwards a cancellation to another entry VM.
      *
      * @param address peer address
      * @param id the submission
-     * @param hops how often it was forwarded, with this one
+     * @param hops how often the cancellation was forwarded, including this time
      */
     record ForwardCancel(String address, SubmissionId id, int hops) implements Action {}
 
@@ -101,7 +101,8 @@
     record AppendView(ViewRecord record) implements Action {}
 
     /**
-     * States the bundle in force on the platform's log again.
+     * Appends a statement of the active bundle to the platform's log, so that it outlives the log's
+     * retention.
      *
      * @param bundle the bundle
      * @param asOf offset up to which the log had been read
@@ -109,7 +110,8 @@
     record RestateBundle(Bundle bundle, long asOf) implements Action {}
 
     /**
-     * Tells a peer which version of the bundle is in force here; one with a newer one answers.
+     * Sends a peer the version of the bundle that is active here; a peer with a newer bundle
+     * answers with it.
      *
      * @param address peer address
      * @param version the version, 0 for none
@@ -117,18 +119,18 @@
     record SendBundleVersion(String address, long version) implements Action {}
 
     /**
-     * Gives a peer that is behind the bundle in force.
+     * Sends the active bundle to a peer that has an older one.
      *
-     * @param link connection on which it told its version
+     * @param link connection on which the peer sent its version
      * @param bundle the bundle
      */
     record SendBundle(long link, Bundle bundle) implements Action {}
 
     /**
-     * All work is answered and the process may exit.
+     * Reports that the drain is over and the process may exit.
      *
      * @param finished submissions answered since the drain began
-     * @param failed those of them that were failed at the bound
+     * @param failed those of them that failed because the drain timed out
      */
     record ReportDrained(long finished, long failed) implements Action {}
 }
--- a/core/src/main/java/org/boragegap/core/dispatch/Admission.java
+++ b/core/src/main/java/org/boragegap/core/dispatch/Admission.java
@@ -13,7 +13,7 @@
 import org.boragegap.core.placement.KindStatistics;
 import org.boragegap.core.placement.TargetPool;
 
-/** Decides at once whether a submission is taken, refused, or can never run. */
+/** Decides whether a submission is accepted, rejected for now, or can never run. */
 final class Admission {
     private final DispatchSettings mSettings;
     private final TargetPool mTargets;
@@ -37,7 +37,7 @@
         mStatistics = statistics;
     }
 
-    /** Why the submission can't be taken now, if it can't; nothing of it was run then. */
+    /** The answer to a submission that is rejected, if it is; nothing of it was run then. */
     Optional<Answer.Failed> rejection(Submission submission, ClockReading clock) {
         Optional<Answer.Failed> impossible = impossible(submission);
         if (impossible.isPresent()) {
@@ -50,7 +50,9 @@
         }
         if (!mTargets.hasTargets(JobScheduler.serviceOf(submission))) {
             return Optional.of(
-                    notRun("no target is known for it", RetryAfter.delayMs(waitMs, spread)));
+                    notRun(
+                            "no target is known for its service",
+                            RetryAfter.delayMs(waitMs, spread)));
         }
         double finishMs = clock.wallMs() + waitMs + longestTaskMs(submission);
         if (mSettings.refuseHopeless() && finishMs > submission.deadlineMs()) {
@@ -82,7 +84,7 @@
         return new Answer.Failed(FailureKind.NOT_RUN, reason, retryAfterMs);
     }
 
-    /** Run time of what is queued, spread over the slots there are. */
+    /** Expected run time of the queued tasks, divided by this VM's share of the service's slots. */
     double expectedWaitMs(String service, ClockReading clock) {
         double slots =
                 (double) mTargets.totalSlots(service, clock.monotonicMs())
--- a/core/src/main/java/org/boragegap/core/dispatch/Backlog.java
+++ b/core/src/main/java/org/boragegap/core/dispatch/Backlog.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** How much work waits for a target, by service. */
+/** Number and expected run time of the tasks that wait for a target, by service. */
 final class Backlog {
     private static final class ServiceBacklog {
         private int mTasks;
@@ -14,16 +14,16 @@
     private int mTasks;
 
     void add(String service, int tasks, double workMs) {
-        ServiceBacklog amount = mByService.computeIfAbsent(service, name -> new ServiceBacklog());
-        amount.mTasks += tasks;
-        amount.mWorkMs += workMs;
+        ServiceBacklog backlog = mByService.computeIfAbsent(service, name -> new ServiceBacklog());
+        backlog.mTasks += tasks;
+        backlog.mWorkMs += workMs;
         mTasks += tasks;
     }
 
     void remove(String service, int tasks, double workMs) {
-        ServiceBacklog amount = mByService.get(service);
-        amount.mTasks -= tasks;
-        amount.mWorkMs = amount.mTasks == 0 ? 0 : Math.max(0, amount.mWorkMs - workMs);
+        ServiceBacklog backlog = mByService.get(service);
+        backlog.mTasks -= tasks;
+        backlog.mWorkMs = backlog.mTasks == 0 ? 0 : Math.max(0, backlog.mWorkMs - workMs);
         mTasks -= tasks;
     }
 
@@ -32,13 +32,13 @@
     }
 
     double workMs(String service) {
-        ServiceBacklog amount = mByService.get(service);
-        return amount == null ? 0 : amount.mWorkMs;
+        ServiceBacklog backlog = mByService.get(service);
+        return backlog == null ? 0 : backlog.mWorkMs;
     }
 
     Map<String, Integer> tasksByService() {
         Map<String, Integer> tasks = new HashMap<>();
-        mByService.forEach((service, amount) -> tasks.put(service, amount.mTasks));
+        mByService.forEach((service, backlog) -> tasks.put(service, backlog.mTasks));
         return tasks;
     }
 }
--- a/core/src/main/java/org/boragegap/core/dispatch/BundleDistributor.java
+++ b/core/src/main/java/org/boragegap/core/dispatch/BundleDistributor.java
@@ -10,7 +10,7 @@
 import org.boragegap.core.claim.ClaimLimits;
 import org.boragegap.core.claim.LogBatch;
 
-/** Brings the bundle in force to other VMs and keeps it on the log. */
+/** Distributes the active bundle to other VMs and keeps it on the log. */
 final class BundleDistributor {
     private static final long VERSION_INTERVAL_MS = 1_000;
 
@@ -52,8 +52,9 @@
     }
 
     /**
-     * One peer in each failure domain hears the version from time to time and gives its bundle if
-     * that is newer, so a domain that is cut off from the log gets it from any peer it reaches.
+     * Sends the version of the active bundle to one peer in each failure domain at intervals. A
+     * peer with a newer bundle answers with it, so a failure domain that can't reach the log gets
+     * the bundle from any peer that it can reach.
      */
     private void sendVersion(EntryVms peers, ClockReading clock, List<Action> out) {
         if (clock.monotonicMs() - mLastVersionSentMs < VERSION_INTERVAL_MS) {
@@ -74,7 +75,9 @@
         }
     }
 
-    /** The log keeps records for a limited time, so the bundle in force is stated again. */
+    /**
+     * States the active bundle again when due, because the log keeps records for a limited time.
+     */
     private void restateBundle(ClockReading clock, List<Action> out) {
         boolean due = clock.monotonicMs() - mLastStatedMs >= mLimits.restateAfterMs();
         if (!due || !mChain.activeFromLog()) {
--- a/core/src/main/java/org/boragegap/core/dispatch/CallerRef.java
+++ b/core/src/main/java/org/boragegap/core/dispatch/CallerRef.java
@@ -1,23 +1,23 @@
 package org.boragegap.core.dispatch;
 
-/** Who waits for an answer. */
+/** The party that waits for an answer. */
 public sealed interface CallerRef {
 
     /**
      * A caller's open HTTP request.
      *
-     * @param token names the request within this process
+     * @param token number of the request, unique within this process
      */
     record HttpCaller(long token) implements CallerRef {}
 
     /**
      * Another entry VM that forwarded a submission.
      *
-     * @param link the connection over which it came, and over which the answer goes back
-     * @param forwardId names the forward within that process
+     * @param link connection over which the submission came and the answer is sent
+     * @param forwardId number of the forward, unique within the other process
      */
     record PeerCaller(long link, long forwardId) implements CallerRef {}
 
-    /** Nobody waits now; the answer is fetched later. */
+    /** No caller is waiting; the answer is fetched later. */
     record NoCaller() implements CallerRef {}
 }
--- a/core/src/main/java/org/boragegap/core/dispatch/Counters.java
+++ b/core/src/main/java/org/boragegap/core/dispatch/Counters.java
@@ -3,20 +3,23 @@
 import java.util.EnumMap;
 import java.util.Map;
 
-/** Counts what a dispatcher did, for metrics and dumps. */
+/** Counters of a dispatcher, for metrics and dumps. */
 public final class Counters {
 
-    /** What is counted. */
+    /** The counters. */
     public enum Name {
-        /** Submissions taken in, with those that were forwarded here. */
+        /** Submissions received, including those that were forwarded here. */
         SUBMISSIONS,
         /** Submissions answered with a complete result. */
         COMPLETE,
-        /** Submissions refused or failed with nothing run. */
+        /** Submissions rejected or failed of which nothing was run. */
         NOT_RUN,
-        /** Submissions failed with work that may have run. */
+        /** Submissions failed of which something may have run. */
         MAY_HAVE_RUN,
-        /** Submissions whose work ran and failed. */
+        /**
+         * Submissions that failed because a task ran and failed, or that were cancelled after a
+         * start.
+         */
         FAILED,
         /** Attempts sent to targets. */
         STARTS,
@@ -26,15 +29,17 @@
         LOST_STARTS,
         /** Requests sent again after they may have run. */
         RETRIES,
-        /** Results for attempts that were no longer waited for. */
+        /** Results and answers that came for an attempt or forward that is no longer known. */
         LATE_RESULTS,
-        /** Submissions handed to another VM. */
+        /** Submissions forwarded to another VM. */
         FORWARDS,
         /** Messages about claims and views sent to peers. */
         CLAIM_MESSAGES,
-        /** Messages about room on targets sent to siblings. */
+        /**
+         * Messages about loans of slots on targets sent to other entry VMs of the failure domain.
+         */
         LOAN_MESSAGES,
-        /** Bundles passed to peers. */
+        /** Bundles sent to peers. */
         BUNDLES_PASSED,
         /** Records appended to the platform's log. */
         APPENDS
@@ -42,17 +47,17 @@
 
     private final Map<Name, Long> mCounts = new EnumMap<>(Name.class);
 
-    /** Adds one. */
+    /** Adds one to a counter. */
     public void increment(Name name) {
         mCounts.merge(name, 1L, Long::sum);
     }
 
-    /** The count so far. */
+    /** The value of a counter. */
     public long count(Name name) {
         return mCounts.getOrDefault(name, 0L);
     }
 
-    /** All counts. */
+    /** A copy of all counters that aren't zero. */
     public Map<Name, Long> all() {
         return new EnumMap<>(mCounts);
     }
--- a/core/src/main/java/org/boragegap/core/dispatch/DispatchSettings.java
+++ b/core/src/main/java/org/boragegap/core/dispatch/DispatchSettings.java
@@ -5,18 +5,18 @@
 import org.boragegap.core.placement.PlacementPolicy;
 
 /**
- * What a dispatcher is told at its start.
+ * Settings of a dispatcher.
  *
  * @param domain this VM's failure domain
- * @param domains all configured failure domains; ids that name none find their home among them
- * @param placement choice among targets
+ * @param domains all configured failure domains; an id that names none is assigned to one of them
+ * @param placement policy for the choice of a target
  * @param order order of the queue
- * @param maxQueuedTasks most tasks that wait for a target
- * @param refuseHopeless whether work that can't make its deadline is refused at once
+ * @param maxQueuedTasks maximum number of tasks that wait for a target
+ * @param refuseHopeless whether a submission that can't meet its deadline is rejected at once
  * @param answerKeepMs how long an answer is kept for a resubmission
- * @param startGraceMs how long after the decision a task may still be sent
- * @param retriesPerFirstTry retries earned by one first try
- * @param maxSavedRetries most retries saved up
+ * @param startGraceMs how long after the placement decision a task may still be sent
+ * @param retriesPerFirstTry retries that each first attempt adds to the retry budget
+ * @param maxSavedRetries maximum number of retries in the retry budget
  */
 public record DispatchSettings(
         String domain,
@@ -30,7 +30,7 @@
         double retriesPerFirstTry,
         double maxSavedRetries) {
 
-    /** Settings with the usual policies. */
+    /** Settings with the default policies. */
     public static DispatchSettings defaults(String domain, List<String> domains) {
         return new DispatchSettings(
                 domain,
--- a/core/src/main/java/org/boragegap/core/dispatch/Dispatcher.java
+++ b/core/src/main/java/org/boragegap/core/dispatch/Dispatcher.java
@@ -23,8 +23,9 @@
 import org.boragegap.core.placement.TargetPool;
 
 /**
- * One entry VM's decisions: where a submission belongs, who may start it, what runs where, and what
- * its callers are told. Pure: events and a clock value in, actions out.
+ * State machine of one entry VM. It decides which VM handles a submission, which VM may start it,
+ * where its tasks run, and how its callers are answered. It does no I/O and reads no clock: events
+ * and clock readings come in, actions go out.
  */
 public final class Dispatcher {
     private static final long VM_UNLISTED_AFTER_MS = 60_000;
@@ -75,11 +76,11 @@
     }
 
     /**
-     * Makes the dispatcher of one run of an entry process.
+     * Creates the dispatcher of one run of an entry process.
      *
-     * @param self this run
-     * @param settings what it is told at its start
-     * @param limits times that bound the claim protocol
+     * @param self the member that this run is
+     * @param settings the dispatcher's settings
+     * @param limits timeouts and intervals of the claim protocol
      * @param random seeded source of random numbers
      */
     public static Dispatcher create(
@@ -87,7 +88,7 @@
         return new Dispatcher(self, settings, limits, random);
     }
 
-    /** Takes an event and appends the actions that follow from it. */
+    /** Handles an event and appends the resulting actions to {@code out}. */
     public void onEvent(Event event, ClockReading clock, List<Action> out) {
         handle(event, clock, out);
         updateOwnership();
@@ -101,10 +102,10 @@
             mRouter.onSubmitted(submitted, clock, out);
         } else if (event instanceof Event.AttemptEnded ended) {
             mJobs.onAttemptEnded(ended.attempt(), ended.outcome(), clock, out);
-        } else if (event instanceof Event.ClaimMessageReceived spoke) {
-            mClaims.onMessage(spoke.from(), spoke.message(), clock, mClaimActions);
-        } else if (event instanceof Event.LoanMessageReceived lent) {
-            mJobs.onLoanMessage(lent.from(), lent.message(), clock, out);
+        } else if (event instanceof Event.ClaimMessageReceived received) {
+            mClaims.onMessage(received.from(), received.message(), clock, mClaimActions);
+        } else if (event instanceof Event.LoanMessageReceived received) {
+            mJobs.onLoanMessage(received.from(), received.message(), clock, out);
         } else if (event instanceof Event.ForwardAnswered answered) {
             mRouter.onForwardAnswered(answered, out);
         } else if (event instanceof Event.ForwardLost lost) {
@@ -114,26 +115,26 @@
         } else if (event instanceof Event.LogRead read) {
             mClaims.onLog(read.batch(), clock, mClaimActions);
             mBundles.onLogRead(read.batch(), read.bundles(), clock);
-        } else if (event instanceof Event.BundleVersionReceived told) {
-            mBundles.onVersionReceived(told.link(), told.version(), out);
-        } else if (event instanceof Event.BundleReceived passed) {
-            mBundles.chain().adopt(passed.bundle(), clock.wallMs());
+        } else if (event instanceof Event.BundleVersionReceived received) {
+            mBundles.onVersionReceived(received.link(), received.version(), out);
+        } else if (event instanceof Event.BundleReceived received) {
+            mBundles.chain().adopt(received.bundle(), clock.wallMs());
         } else if (event instanceof Event.VmsListed listed) {
             onVmsListed(listed.vms(), clock);
-        } else if (event instanceof Event.DrainRequested asked) {
+        } else if (event instanceof Event.DrainRequested requested) {
             mRouter.drain();
-            mDrain.start(clock.monotonicMs() + asked.timeoutMs(), answeredCount());
+            mDrain.start(clock.monotonicMs() + requested.timeoutMs(), answeredCount());
         } else if (event instanceof Event.Ticked) {
             onTick(clock, out);
         }
     }
 
-    /** True when callers may be sent here. */
+    /** True when callers may be routed here. */
     public boolean ready(ClockReading clock) {
         return mClaims.ready(clock) && !mDrain.active();
     }
 
-    /** True while there is work whose time limits need a close look. */
+    /** True while there is unfinished work, whose timeouts need frequent ticks. */
     public boolean busy() {
         return mJobs.unanswered() > 0
                 || mJobs.runningAttempts() > 0
@@ -143,17 +144,17 @@
                 || mDrain.active();
     }
 
-    /** What this dispatcher did so far. */
+    /** The counters of this dispatcher. */
     public Counters counters() {
         return mCounters;
     }
 
-    /** The bundles as known here. */
+    /** The published bundles as known here. */
     public BundleChain bundles() {
         return mBundles.chain();
     }
 
-    /** The answer of a submission that is known here. */
+    /** The answer to a submission that is held here, if there is one already. */
     public Optional<Answer> answerTo(SubmissionId id) {
         return mJobs.find(id).flatMap(Job::answer);
     }
@@ -163,12 +164,12 @@
         return mJobs.find(id).isPresent();
     }
 
-    /** Other VMs that may hold a submission which is not known here. */
+    /** Other VMs that may hold a submission that is not held here. */
     public Set<String> likelyHolders(SubmissionId id) {
         return mRouter.likelyHolders(id);
     }
 
-    /** What this dispatcher believes, for a dump. */
+    /** The state of this dispatcher, for a dump. */
     public DispatcherState state(ClockReading clock) {
         return new DispatcherState(
                 mSelf,
@@ -213,7 +214,7 @@
         return mSiblings;
     }
 
-    /** A new view divides the targets anew. */
+    /** Assigns the targets to their owners again when the view has changed. */
     private void updateOwnership() {
         long uid = mClaims.view().map(DomainView::uid).orElse(0L);
         if (uid == mOwnersViewUid) {
@@ -224,7 +225,10 @@
         mTargets.setOwned(this::owns);
     }
 
-    /** Each target belongs to one member of the view, which alone accounts for its room. */
+    /**
+     * True when this VM owns the target. Each target is owned by one member of the view, which
+     * alone accounts for its free capacity.
+     */
     private boolean owns(Target target) {
         Optional<DomainView> view = mClaims.view();
         if (view.isEmpty()) {
@@ -312,7 +316,7 @@
         }
         boolean overdue = mDrain.overdue(clock.monotonicMs());
         if (overdue) {
-            mDrain.addFailed(mJobs.failAll("this VM is going away", clock, out));
+            mDrain.addFailed(mJobs.failAll("this VM is shutting down", clock, out));
         }
         boolean idle = mJobs.unanswered() == 0 && mRouter.idle() && mJobs.runningAttempts() == 0;
         if (!idle && !overdue) {
--- a/core/src/main/java/org/boragegap/core/dispatch/DispatcherState.java
+++ b/core/src/main/java/org/boragegap/core/dispatch/DispatcherState.java
@@ -7,26 +7,26 @@
 import org.boragegap.core.claim.Member;
 
 /**
- * A dump of a dispatcher.
+ * The state of a dispatcher, for a dump.
  *
  * @param self this run of the process
  * @param domain its failure domain
- * @param ready whether callers may be sent here
- * @param draining whether it is going away
+ * @param ready whether callers may be routed here
+ * @param draining whether it is draining
  * @param view the failure domain's view
- * @param claimsKept submissions remembered as claimed
- * @param claimsPending claims that wait for acknowledgements
- * @param jobsKept submissions held here, with those whose answer is kept
- * @param unanswered submissions without an answer
- * @param queuedTasks tasks that wait for a target
- * @param runningAttempts attempts under way
- * @param forwards submissions handed to other VMs
- * @param runningByTeam attempts under way by team
+ * @param claimsKept number of submissions with at least one recorded claim
+ * @param claimsPending number of claims that are waiting for acknowledgements
+ * @param jobsKept number of submissions held here, including those whose answer is kept
+ * @param unanswered number of submissions held here without an answer
+ * @param queuedTasks number of tasks that wait for a target
+ * @param runningAttempts number of attempts that are running
+ * @param forwards number of submissions forwarded to other VMs and not answered yet
+ * @param runningByTeam number of running attempts by team
  * @param entryVms entry VMs as last listed, by failure domain
- * @param targets workers and minions as believed
- * @param bundleVersion bundle in force, 0 for none
- * @param bundleSinceMs wall-clock time since which it is in force
- * @param counters counts since the start
+ * @param targets the workers and minions of this failure domain as seen by this VM
+ * @param bundleVersion version of the active bundle, 0 for none
+ * @param bundleSinceMs wall-clock time since which that bundle is active
+ * @param counters counters since the start of the process
  */
 public record DispatcherState(
         Member self,
--- a/core/src/main/java/org/boragegap/core/dispatch/Drain.java
+++ b/core/src/main/java/org/boragegap/core/dispatch/Drain.java
@@ -1,6 +1,6 @@
 package org.boragegap.core.dispatch;
 
-/** The progress of a graceful shutdown. */
+/** State of a graceful shutdown. */
 final class Drain {
     private boolean mActive;
     private static final long LEAVE_TIMEOUT_MS = 2_000;
@@ -18,7 +18,7 @@
         return new Drain();
     }
 
-    /** Starts the drain; asking twice changes nothing. */
+    /** Starts the drain; has no effect if it was started before. */
     void start(long boundMs, long answeredBefore) {
         if (mActive) {
             return;
@@ -40,7 +40,9 @@
         return mActive && nowMs >= mDeadlineMs;
     }
 
-    /** True once: the time to ask the siblings for a view without this VM. */
+    /**
+     * True on the first call only: then the siblings are to be asked for a view without this VM.
+     */
     boolean startLeaving(long nowMs) {
         if (mLeavingSinceMs != NOT_YET) {
             return false;
@@ -49,7 +51,10 @@
         return true;
     }
 
-    /** The siblings did not answer; they will notice by themselves. */
+    /**
+     * True when the siblings have not changed the view in time. The process may exit: they will
+     * suspect this VM by themselves.
+     */
     boolean leaveTimedOut(long nowMs) {
         return mLeavingSinceMs != NOT_YET && nowMs - mLeavingSinceMs > LEAVE_TIMEOUT_MS;
     }
--- a/core/src/main/java/org/boragegap/core/dispatch/EntryVms.java
+++ b/core/src/main/java/org/boragegap/core/dispatch/EntryVms.java
@@ -11,10 +11,10 @@
 import org.boragegap.core.membership.VmKind;
 
 /**
- * The entry VMs that this one knows of, by failure domain.
+ * The known entry VMs, by failure domain.
  *
- * <p>The platform's list lags and may be out; what was last listed stays known, and a VM that could
- * not be reached is asked last.
+ * <p>The platform's list lags and may be unavailable. The last list received stays in use, and a VM
+ * that was recently unreachable is picked only if no other one is left.
  */
 final class EntryVms {
     private static final long UNREACHABLE_BACKOFF_MS = 2_000;
@@ -44,33 +44,37 @@
         mUnlistedSinceMs.keySet().removeAll(listed);
     }
 
-    /** VMs that were listed once and have been missing from the list for a while. */
-    Set<String> unlistedFor(long leastMs, long nowMs) {
-        Set<String> gone = new HashSet<>();
-        for (Map.Entry<String, Long> missing : mUnlistedSinceMs.entrySet()) {
-            if (nowMs - missing.getValue() >= leastMs) {
-                gone.add(missing.getKey());
+    /** VMs that were listed before and have been missing from the list for at least this long. */
+    Set<String> unlistedFor(long minMs, long nowMs) {
+        Set<String> unlisted = new HashSet<>();
+        for (Map.Entry<String, Long> entry : mUnlistedSinceMs.entrySet()) {
+            if (nowMs - entry.getValue() >= minMs) {
+                unlisted.add(entry.getKey());
             }
         }
-        return gone;
+        return unlisted;
     }
 
     void onUnreachable(String address, long nowMs) {
         mUnreachableUntilMs.put(address, nowMs + UNREACHABLE_BACKOFF_MS);
     }
 
-    /** A VM of the domain other than those given, reachable ones first. */
+    /**
+     * Picks a VM of the domain other than those given; prefers those that weren't recently
+     * unreachable.
+     */
     Optional<String> pick(String domain, Set<String> except, long nowMs) {
         List<String> candidates = new ArrayList<>();
-        List<String> doubtful = new ArrayList<>();
+        List<String> unreachable = new ArrayList<>();
         for (String address : mByDomain.getOrDefault(domain, List.of())) {
             if (except.contains(address)) {
                 continue;
             }
-            boolean doubted = mUnreachableUntilMs.getOrDefault(address, Long.MIN_VALUE) > nowMs;
-            (doubted ? doubtful : candidates).add(address);
+            boolean recentlyUnreachable =
+                    mUnreachableUntilMs.getOrDefault(address, Long.MIN_VALUE) > nowMs;
+            (recentlyUnreachable ? unreachable : candidates).add(address);
         }
-        List<String> chosen = candidates.isEmpty() ? doubtful : candidates;
+        List<String> chosen = candidates.isEmpty() ? unreachable : candidates;
         if (chosen.isEmpty()) {
             return Optional.empty();
         }
--- a/core/src/main/java/org/boragegap/core/dispatch/Event.java
+++ b/core/src/main/java/org/boragegap/core/dispatch/Event.java
@@ -13,16 +13,16 @@
 import org.boragegap.core.membership.ListedVm;
 import org.boragegap.core.placement.LoanMessage;
 
-/** What happens to a dispatcher. */
+/** An input of a dispatcher. */
 public sealed interface Event {
 
     /**
-     * A submission came in.
+     * A submission was received.
      *
-     * @param caller who waits for the answer
+     * @param caller the party that waits for the answer
      * @param submission the submission
-     * @param newId whether this VM minted the id for it just now
-     * @param hops how often it was forwarded
+     * @param newId whether this VM has just minted the submission's id
+     * @param hops how often the submission was forwarded
      */
     record Submitted(CallerRef caller, Submission submission, boolean newId, int hops)
             implements Event {}
@@ -39,23 +39,23 @@
      * An attempt ended.
      *
      * @param attempt the attempt
-     * @param outcome how
+     * @param outcome how it ended
      */
     record AttemptEnded(long attempt, Outcome outcome) implements Event {}
 
     /**
-     * A peer spoke about claims.
+     * A peer sent a message about claims.
      *
      * @param from the peer
-     * @param message what it said
+     * @param message the message
      */
     record ClaimMessageReceived(Member from, ClaimMessage message) implements Event {}
 
     /**
-     * A sibling spoke about room on targets.
+     * Another entry VM of this failure domain sent a message about loans of slots on targets.
      *
      * @param from peer address
-     * @param message what it said
+     * @param message the message
      */
     record LoanMessageReceived(String from, LoanMessage message) implements Event {}
 
@@ -71,44 +71,44 @@
      * A forwarded submission will not be answered by the peer.
      *
      * @param forwardId the forward
-     * @param sent whether any of it may have reached the peer
+     * @param sent whether the submission may have reached the peer
      */
     record ForwardLost(long forwardId, boolean sent) implements Event {}
 
     /**
      * The log was read.
      *
-     * @param batch view records, and how far the read went
+     * @param batch view records and the range of offsets that was read
      * @param bundles bundle records in log order
      */
     record LogRead(LogBatch batch, List<BundleRecord> bundles) implements Event {}
 
     /**
-     * A peer told which version of the bundle it has in force.
+     * A peer sent the version of its active bundle.
      *
-     * @param link connection on which it did
+     * @param link connection on which it did so
      * @param version the version
      */
     record BundleVersionReceived(long link, long version) implements Event {}
 
     /**
-     * A peer gave the bundle that it has in force.
+     * A peer sent its active bundle.
      *
      * @param bundle the bundle
      */
     record BundleReceived(CheckedBundle bundle) implements Event {}
 
     /**
-     * The platform listed the VMs.
+     * A list of the VMs was received from the platform.
      *
      * @param vms all live and leaving VMs of the deployment
      */
     record VmsListed(List<ListedVm> vms) implements Event {}
 
     /**
-     * An operator or a signal asks this VM to drain.
+     * An operator or a signal requested a drain of this VM.
      *
-     * @param timeoutMs how long work in flight may take
+     * @param timeoutMs how long unfinished work may still take
      */
     record DrainRequested(long timeoutMs) implements Event {}
 
--- a/core/src/main/java/org/boragegap/core/dispatch/Forwards.java
+++ b/core/src/main/java/org/boragegap/core/dispatch/Forwards.java
@@ -7,21 +7,21 @@
 import java.util.Optional;
 import org.boragegap.core.job.Submission;
 
-/** Submissions handed to other entry VMs whose answers are awaited. */
+/** Submissions that were forwarded to other entry VMs and not answered yet. */
 final class Forwards {
 
-    /** One submission on its way. */
+    /** One forwarded submission. */
     static final class Forward {
         private final Submission mSubmission;
         private final String mAddress;
         private final int mHops;
         private final List<CallerRef> mCallers;
 
-        private Forward(Submission submission, String address, int tryNumber, List<CallerRef> who) {
+        private Forward(Submission submission, String address, int hops, List<CallerRef> callers) {
             mSubmission = submission;
             mAddress = address;
-            mHops = tryNumber;
-            mCallers = new ArrayList<>(who);
+            mHops = hops;
+            mCallers = new ArrayList<>(callers);
         }
 
         Submission submission() {
@@ -45,9 +45,9 @@
     private final Map<String, Long> mBySubmission = new HashMap<>();
     private long mNextId = 1;
 
-    long add(Submission submission, String address, int tryNumber, List<CallerRef> callers) {
+    long add(Submission submission, String address, int hops, List<CallerRef> callers) {
         long id = mNextId++;
-        mById.put(id, new Forward(submission, address, tryNumber, callers));
+        mById.put(id, new Forward(submission, address, hops, callers));
         mBySubmission.put(submission.id().text(), id);
         return id;
     }
@@ -57,7 +57,7 @@
         return Optional.ofNullable(id).map(mById::get);
     }
 
-    /** Ends a forward; an answer that comes for one that is not known is dropped. */
+    /** Removes a forward; empty if it is not known, as after a second answer. */
     Optional<Forward> remove(long id) {
         Forward forward = mById.remove(id);
         if (forward != null) {
@@ -70,7 +70,7 @@
         return mById.size();
     }
 
-    /** Forwards whose deadline has passed. */
+    /** Forwards whose deadline passed more than {@link #DEADLINE_GRACE_MS} ago. */
     List<Long> expired(long wallMs) {
         List<Long> ids = new ArrayList<>();
         for (Map.Entry<Long, Forward> entry : mById.entrySet()) {
@@ -81,6 +81,6 @@
         return ids;
     }
 
-    /** The holder answers at the deadline by itself; this is for a holder that doesn't. */
+    /** The holder itself answers at the deadline; this covers a holder that doesn't. */
     private static final long DEADLINE_GRACE_MS = 500;
 }
--- a/core/src/main/java/org/boragegap/core/dispatch/Job.java
+++ b/core/src/main/java/org/boragegap/core/dispatch/Job.java
@@ -14,7 +14,7 @@
 import org.boragegap.core.job.Submission;
 import org.boragegap.core.job.TaskSpec;
 
-/** A submission that this VM alone may start, from its claim until its answer is forgotten. */
+/** A submission that this VM alone may start, from its claim until its kept answer expires. */
 final class Job {
     private final Submission mSubmission;
     private final double mWorkMs;
@@ -41,7 +41,7 @@
         return mSubmission;
     }
 
-    /** Expected run time of all its tasks, as estimated on arrival. */
+    /** Expected run time of all tasks, estimated when the submission was accepted. */
     double workMs() {
         return mWorkMs;
     }
@@ -85,7 +85,9 @@
         return mAttempts;
     }
 
-    /** Targets that have refused the task, and are not asked again. */
+    /**
+     * Targets that refused the task or lost an attempt of it; the task isn't sent to them again.
+     */
     Set<String> avoidedTargets(TaskSpec task) {
         return mAvoidedTargets.getOrDefault(task.index(), Set.of());
     }
@@ -100,7 +102,7 @@
         mMayHaveRun++;
     }
 
-    /** The attempt is over, and surely did nothing. */
+    /** Records that an attempt ended and certainly did not run. */
     void notRun(long attempt) {
         mAttempts.remove(attempt);
         mMayHaveRun--;
@@ -127,7 +129,7 @@
         return new Answer.Complete(List.copyOf(Arrays.asList(mResults)));
     }
 
-    /** The first answer is the final one. */
+    /** Sets the answer; has no effect if there is one already. */
     void answer(Answer answer) {
         if (mAnswer.isEmpty()) {
             mAnswer = Optional.of(answer);
--- a/core/src/main/java/org/boragegap/core/dispatch/JobScheduler.java
+++ b/core/src/main/java/org/boragegap/core/dispatch/JobScheduler.java
@@ -29,7 +29,10 @@
 import org.boragegap.core.placement.TargetPool;
 import org.boragegap.core.retry.RetryBudget;
 
-/** The jobs that this VM alone may start: their queue, attempts, results and answers. */
+/**
+ * Schedules the jobs that this VM alone may start, and keeps their queue, attempts, results and
+ * answers.
+ */
 final class JobScheduler {
     private static final int BACKFILL_LIMIT = 4;
     private static final int MAX_REFUSALS = 5;
@@ -114,7 +117,7 @@
         return Map.copyOf(mRunningByTeam);
     }
 
-    /** Why the submission can't be taken now, if it can't; nothing of it was run then. */
+    /** The answer to a submission that is rejected, if it is; nothing of it was run then. */
     Optional<Answer.Failed> rejection(Submission submission, ClockReading clock) {
         return mAdmission.rejection(submission, clock);
     }
@@ -123,7 +126,7 @@
         return submission.service().orElse(Target.WORKERS);
     }
 
-    /** Takes a submission whose claim this VM holds. */
+    /** Adds a submission that this VM alone may start, and accepts its callers. */
     void add(Submission submission, List<CallerRef> callers, List<Action> out) {
         double workMs = 0;
         for (TaskSpec task : submission.tasks()) {
@@ -141,7 +144,7 @@
         }
     }
 
-    /** Adds a caller to a job that is known here. */
+    /** Adds a caller to a known job, or answers the caller if the job is already answered. */
     void attachCaller(Job job, CallerRef caller, List<Action> out) {
         out.add(new Action.Accept(caller, job.submission().id()));
         if (job.answer().isPresent()) {
@@ -151,7 +154,7 @@
         }
     }
 
-    /** Starts what finds room. */
+    /** Starts queued tasks until none of the jobs at the front of the queues can start one. */
     void startQueuedTasks(ClockReading clock, List<Action> out) {
         mPlacer.beginRound();
         boolean started = true;
@@ -176,14 +179,17 @@
         }
     }
 
-    /** Takes what a sibling says about room on targets. */
+    /** Handles a sibling's message about loans of slots on targets. */
     void onLoanMessage(String from, LoanMessage message, ClockReading clock, List<Action> out) {
         List<LoanAction> loans = new ArrayList<>();
         mPlacer.onMessage(from, message, clock.monotonicMs(), loans);
         sendLoanMessages(loans, out);
     }
 
-    /** A big task that finds no room doesn't hold up the smaller ones behind it. */
+    /**
+     * Starts a task of the first job or, if that job's next task fits on no target, of one of the
+     * jobs behind it, so that a large task doesn't block smaller ones.
+     */
     private boolean startFirstFitting(Job head, ClockReading clock, List<Action> out) {
         if (!withinQuota(head)) {
             return false;
@@ -246,19 +252,20 @@
     }
 
     /**
-     * How long a result is waited for: up to the deadline, but less for a request that may be sent
-     * again, so that a connection gone silent costs it one short wait.
+     * How long to wait for a result: up to the deadline, but less for a request that may be sent
+     * again, so that an unresponsive connection costs it only one short wait.
      */
     private static long timeoutMs(Submission submission, double workMs, ClockReading clock) {
         long leftMs = Math.max(1, submission.deadlineMs() - clock.wallMs());
         if (submission.service().isEmpty() || !submission.idempotent()) {
             return leftMs;
         }
-        long patienceMs = Math.max(MIN_RESULT_TIMEOUT_MS, (long) (RESULT_TIMEOUT_FACTOR * workMs));
-        return Math.min(leftMs, patienceMs);
+        long resultTimeoutMs =
+                Math.max(MIN_RESULT_TIMEOUT_MS, (long) (RESULT_TIMEOUT_FACTOR * workMs));
+        return Math.min(leftMs, resultTimeoutMs);
     }
 
-    /** Takes the end of an attempt; what comes for an attempt that is not known is dropped. */
+    /** Handles the end of an attempt; an unknown attempt is only counted as a late result. */
     void onAttemptEnded(long id, Outcome outcome, ClockReading clock, List<Action> out) {
         Attempt attempt = mAttempts.remove(id);
         if (attempt == null) {
@@ -297,7 +304,7 @@
         }
     }
 
-    /** Nothing was run, so the task may go elsewhere whatever it is. */
+    /** Nothing was run, so the task may be sent to another target even if it isn't idempotent. */
     private void onRefused(
             Attempt attempt, Outcome.NotRun refused, ClockReading clock, List<Action> out) {
         mCounters.increment(Counters.Name.REFUSED_STARTS);
@@ -321,7 +328,9 @@
         mQueue.requeue(job);
     }
 
-    /** Only an idempotent request to a minion is sent again after it may have run. */
+    /**
+     * Handles an attempt that may have run. Only an idempotent request to a minion is sent again.
+     */
     private void onLost(Attempt attempt, Outcome.Lost lost, ClockReading clock, List<Action> out) {
         mCounters.increment(Counters.Name.LOST_STARTS);
         Job job = attempt.job();
@@ -348,9 +357,9 @@
             return;
         }
         SubmissionId id = job.submission().id();
-        int left = job.queuedTasks();
-        double leftMs = job.workMs() * left / job.submission().tasks().size();
-        mBacklog.remove(serviceOf(job.submission()), left, leftMs);
+        int queuedTasks = job.queuedTasks();
+        double queuedMs = job.workMs() * queuedTasks / job.submission().tasks().size();
+        mBacklog.remove(serviceOf(job.submission()), queuedTasks, queuedMs);
         job.answer(answer);
         mUnanswered--;
         for (long attempt : job.attempts()) {
@@ -361,7 +370,7 @@
         }
         mCounters.increment(counterOf(answer));
         if (answer instanceof Answer.Failed failed && failed.kind() == FailureKind.NOT_RUN) {
-            // Nothing ran, so a resubmission is free to run, here or elsewhere.
+            // Nothing ran, so a resubmission may run, here or on another VM.
             mJobs.remove(id.text());
             mOnNotRun.accept(id);
             return;
@@ -381,7 +390,7 @@
                 : Counters.Name.FAILED;
     }
 
-    /** Cancels a job; doing so again changes nothing. */
+    /** Cancels a job; has no effect if it is already answered. */
     void cancel(Job job, ClockReading clock, List<Action> out) {
         FailureKind kind = job.mayHaveRun() ? FailureKind.CANCELLED : FailureKind.NOT_RUN;
         finish(job, new Answer.Failed(kind, "cancelled by the caller", 0), clock, out);
@@ -400,17 +409,19 @@
         }
     }
 
-    /** Fails all that is not answered yet; for the bound of a drain. */
+    /**
+     * Fails all jobs that aren't answered yet, for a drain that timed out; returns their number.
+     */
     int failAll(String reason, ClockReading clock, List<Action> out) {
-        List<Job> left = new ArrayList<>();
+        List<Job> unanswered = new ArrayList<>();
         for (Job job : mJobs.values()) {
             if (job.answer().isEmpty()) {
-                left.add(job);
+                unanswered.add(job);
             }
         }
-        for (Job job : left) {
+        for (Job job : unanswered) {
             finish(job, abandonedAnswer(job, reason, clock), clock, out);
         }
-        return left.size();
+        return unanswered.size();
     }
 }
--- a/core/src/main/java/org/boragegap/core/dispatch/KeptAnswers.java
+++ b/core/src/main/java/org/boragegap/core/dispatch/KeptAnswers.java
@@ -6,7 +6,10 @@
 import java.util.List;
 import org.boragegap.core.job.SubmissionId;
 
-/** Which answered submissions are still kept, so that a resubmission gets the same answer. */
+/**
+ * The answered submissions whose answers are still kept, so that a resubmission gets the same
+ * answer.
+ */
 final class KeptAnswers {
     private record Entry(long untilMs, SubmissionId id) {}
 
@@ -21,7 +24,7 @@
         mEntries.add(new Entry(nowMs + mKeepMs, id));
     }
 
-    /** Submissions whose answer is no longer kept; each is told once. */
+    /** Removes and returns the submissions whose answers are no longer kept. */
     List<SubmissionId> expired(long nowMs) {
         List<SubmissionId> ids = new ArrayList<>();
         while (!mEntries.isEmpty() && mEntries.peek().untilMs() <= nowMs) {
--- a/core/src/main/java/org/boragegap/core/dispatch/Replies.java
+++ b/core/src/main/java/org/boragegap/core/dispatch/Replies.java
@@ -6,7 +6,7 @@
 import org.boragegap.core.job.Submission;
 import org.boragegap.core.limit.RetryAfter;
 
-/** Makes and counts the answers to submissions that no job here stands for. */
+/** Creates and counts the answers to submissions for which there is no job on this VM. */
 final class Replies {
     private final Counters mCounters;
 
@@ -33,7 +33,7 @@
         return failed(FailureKind.CONFLICT, "the id was used with another body");
     }
 
-    /** Nothing is known to have run, and nothing can be ruled out. */
+    /** An answer to a submission that isn't known to have run, but may have. */
     static Answer mayHaveRun(Submission submission, String reason) {
         return retryableFailure(FailureKind.MAY_HAVE_RUN, submission, reason);
     }
--- a/core/src/main/java/org/boragegap/core/dispatch/SubmissionRouter.java
+++ b/core/src/main/java/org/boragegap/core/dispatch/SubmissionRouter.java
@@ -18,7 +18,7 @@
 import org.boragegap.core.job.SubmissionId;
 import org.boragegap.core.placement.Ownership;
 
-/** Finds out which VM may start a submission, and hands it over if that is another one. */
+/** Determines which VM may start a submission, and forwards it if that is another VM. */
 final class SubmissionRouter {
     private static final int MAX_HOPS = 2;
 
@@ -65,7 +65,7 @@
         mCounters = counters;
     }
 
-    /** From now on nothing new is taken in. */
+    /** Makes the router accept no new submissions from now on. */
     void drain() {
         mDraining = true;
     }
@@ -78,7 +78,7 @@
         return mForwards.size();
     }
 
-    /** Takes a submission, from a caller or from another VM. */
+    /** Handles a submission from a caller or from another VM. */
     void onSubmitted(Event.Submitted event, ClockReading clock, List<Action> out) {
         mCounters.increment(Counters.Name.SUBMISSIONS);
         Submission submission = event.submission();
@@ -116,7 +116,10 @@
         mJobs.attachCaller(job, event.caller(), out);
     }
 
-    /** Nobody else can know an id that was minted just now, so it needs no claim. */
+    /**
+     * Handles a submission whose id was just minted here. No other VM can know the id, so it needs
+     * no claim.
+     */
     private void onNewId(Event.Submitted event, ClockReading clock, List<Action> out) {
         Submission submission = event.submission();
         if (mDraining) {
@@ -124,9 +127,9 @@
             mReplies.reply(event.caller(), submission, answer, out);
             return;
         }
-        Optional<Answer.Failed> objection = mJobs.rejection(submission, clock);
-        if (objection.isPresent()) {
-            mReplies.reply(event.caller(), submission, objection.get(), out);
+        Optional<Answer.Failed> rejection = mJobs.rejection(submission, clock);
+        if (rejection.isPresent()) {
+            mReplies.reply(event.caller(), submission, rejection.get(), out);
             return;
         }
         mJobs.add(submission, List.of(event.caller()), out);
@@ -144,8 +147,9 @@
     }
 
     /**
-     * The home is fixed by the id or by the configured failure domains, never by which ones are
-     * alive, so that no partition between them can start a submission twice.
+     * The home failure domain of an id, empty if the id names an unknown one. It depends only on
+     * the id and the configured failure domains, not on which ones are alive, so a partition
+     * between failure domains can't cause a submission to be started twice.
      */
     private Optional<String> homeOf(SubmissionId id) {
         if (id.domain().isPresent()) {
@@ -156,13 +160,13 @@
 
     private void forwardHome(
             Event.Submitted event, String home, ClockReading clock, List<Action> out) {
-        Optional<Forwards.Forward> underWay = mForwards.find(event.submission());
-        boolean same =
-                underWay.isPresent()
-                        && underWay.get().submission().fingerprint()
+        Optional<Forwards.Forward> existing = mForwards.find(event.submission());
+        boolean sameBody =
+                existing.isPresent()
+                        && existing.get().submission().fingerprint()
                                 == event.submission().fingerprint();
-        if (same) {
-            underWay.get().callers().add(event.caller());
+        if (sameBody) {
+            existing.get().callers().add(event.caller());
             return;
         }
         Optional<String> peer = mEntryVms.pick(home, Set.of(), clock.monotonicMs());
@@ -189,59 +193,59 @@
     private void requestClaim(Event.Submitted event, ClockReading clock, List<Action> out) {
         Submission submission = event.submission();
         ClaimKey key = submission.id().claimKey();
-        PendingSubmission waiting = mPending.get(key);
-        if (waiting == null) {
-            waiting = new PendingSubmission(submission, event.hops());
-            mPending.put(key, waiting);
-        } else if (waiting.mSubmission.fingerprint() != submission.fingerprint()) {
+        PendingSubmission pending = mPending.get(key);
+        if (pending == null) {
+            pending = new PendingSubmission(submission, event.hops());
+            mPending.put(key, pending);
+        } else if (pending.mSubmission.fingerprint() != submission.fingerprint()) {
             mReplies.reply(event.caller(), submission, Replies.conflict(), out);
             return;
         }
-        waiting.mCallers.add(event.caller());
+        pending.mCallers.add(event.caller());
         mClaims.requestClaim(
                 key, submission.id().createdMs(), submission.fingerprint(), clock, mClaimActions);
     }
 
     private void onClaimOutcome(
-            PendingSubmission waiting, ClaimOutcome verdict, ClockReading clock, List<Action> out) {
-        Submission submission = waiting.mSubmission;
-        if (verdict instanceof ClaimOutcome.Granted) {
-            onGranted(waiting, clock, out);
-        } else if (verdict instanceof ClaimOutcome.HeldBy held) {
-            onHeldElsewhere(waiting, held, out);
-        } else if (verdict instanceof ClaimOutcome.Conflict) {
-            mReplies.replyAll(waiting.mCallers, submission, Replies.conflict(), out);
-        } else if (verdict instanceof ClaimOutcome.Unknown unknown) {
+            PendingSubmission pending, ClaimOutcome outcome, ClockReading clock, List<Action> out) {
+        Submission submission = pending.mSubmission;
+        if (outcome instanceof ClaimOutcome.Granted) {
+            onGranted(pending, clock, out);
+        } else if (outcome instanceof ClaimOutcome.HeldBy held) {
+            onHeldElsewhere(pending, held, out);
+        } else if (outcome instanceof ClaimOutcome.Conflict) {
+            mReplies.replyAll(pending.mCallers, submission, Replies.conflict(), out);
+        } else if (outcome instanceof ClaimOutcome.Unknown unknown) {
             Answer answer = Replies.mayHaveRun(submission, unknown.reason());
-            mReplies.replyAll(waiting.mCallers, submission, answer, out);
+            mReplies.replyAll(pending.mCallers, submission, answer, out);
         }
     }
 
     /**
-     * Refusals come after the claim: only who holds it can say that the id was not run, since a
-     * sibling may have started an earlier submission of it.
+     * Submissions are rejected only after the claim is granted: only the holder of the claim can
+     * say that the id was not run, since a sibling may have started an earlier submission of it.
      */
-    private void onGranted(PendingSubmission waiting, ClockReading clock, List<Action> out) {
-        Submission submission = waiting.mSubmission;
-        Optional<Answer.Failed> objection = mJobs.rejection(submission, clock);
-        if (objection.isPresent()) {
+    private void onGranted(PendingSubmission pending, ClockReading clock, List<Action> out) {
+        Submission submission = pending.mSubmission;
+        Optional<Answer.Failed> rejection = mJobs.rejection(submission, clock);
+        if (rejection.isPresent()) {
             mClaims.release(submission.id().claimKey(), mClaimActions);
-            mReplies.replyAll(waiting.mCallers, submission, objection.get(), out);
+            mReplies.replyAll(pending.mCallers, submission, rejection.get(), out);
             return;
         }
-        mJobs.add(submission, waiting.mCallers, out);
+        mJobs.add(submission, pending.mCallers, out);
     }
 
     private void onHeldElsewhere(
-            PendingSubmission waiting, ClaimOutcome.HeldBy held, List<Action> out) {
-        if (!held.reachable() || waiting.mHops >= MAX_HOPS) {
-            String reason = "the VM that held it is gone";
-            Answer answer = Replies.mayHaveRun(waiting.mSubmission, reason);
-            mReplies.replyAll(waiting.mCallers, waiting.mSubmission, answer, out);
+            PendingSubmission pending, ClaimOutcome.HeldBy held, List<Action> out) {
+        if (!held.reachable() || pending.mHops >= MAX_HOPS) {
+            String reason = "the VM that held the submission can't be reached";
+            Answer answer = Replies.mayHaveRun(pending.mSubmission, reason);
+            mReplies.replyAll(pending.mCallers, pending.mSubmission, answer, out);
             return;
         }
         String address = held.holder().address();
-        forward(waiting.mSubmission, address, waiting.mHops, waiting.mCallers, out);
+        forward(pending.mSubmission, address, pending.mHops, pending.mCallers, out);
     }
 
     private void forward(
@@ -264,7 +268,10 @@
         mReplies.replyAll(forward.get().callers(), forward.get().submission(), event.answer(), out);
     }
 
-    /** Forwarding again elsewhere is safe: whoever takes it has to claim it. */
+    /**
+     * Forwards the submission to another VM if possible. This is safe because that VM has to claim
+     * the submission before it starts anything.
+     */
     void onForwardLost(Event.ForwardLost event, ClockReading clock, List<Action> out) {
         Optional<Forwards.Forward> lost = mForwards.remove(event.forwardId());
         if (lost.isEmpty()) {
@@ -286,12 +293,12 @@
             forward(submission, next.get(), forward.hops(), forward.callers(), out);
             return;
         }
-        String reason = "the VM that it was handed to did not answer";
+        String reason = "the VM to which the submission was forwarded did not answer";
         mReplies.replyAll(
                 forward.callers(), submission, Replies.mayHaveRun(submission, reason), out);
     }
 
-    /** Other VMs that may hold a submission which is not known here. */
+    /** Other VMs that may hold a submission that is not held here. */
     Set<String> likelyHolders(SubmissionId id) {
         if (id.minter().isPresent()) {
             return Set.of(id.minter().get());
@@ -302,11 +309,11 @@
         return holders;
     }
 
-    /** Takes the verdict on a claim that was wanted here. */
+    /** Handles the outcome of a claim that was requested here. */
     void onClaimResolved(ClaimAction.Resolve decide, ClockReading clock, List<Action> out) {
-        PendingSubmission waiting = mPending.remove(decide.key());
-        if (waiting != null) {
-            onClaimOutcome(waiting, decide.outcome(), clock, out);
+        PendingSubmission pending = mPending.remove(decide.key());
+        if (pending != null) {
+            onClaimOutcome(pending, decide.outcome(), clock, out);
         }
     }
 
--- a/core/src/main/java/org/boragegap/core/dispatch/WorkQueue.java
+++ b/core/src/main/java/org/boragegap/core/dispatch/WorkQueue.java
@@ -11,12 +11,16 @@
 import org.boragegap.core.limit.QueueOrder;
 
 /**
- * Jobs with tasks that wait for a target, a lane a team.
+ * Jobs with tasks that wait for a target: weighted fair queueing with one queue per team.
  *
- * <p>A lane's served time grows by the run time of what it starts, divided by the team's weight.
- * The lane goes first whose first job would be done at the least served time, so small jobs pass
- * big ones as long as their team isn't ahead of the others by more than that. A lane that was empty
- * starts at the others' level, so idle time can't be saved up.
+ * <p>A team queue's virtual time grows by the expected run time of each started task, divided by
+ * the team's weight. The queue whose first job has the lowest virtual finish time is served first,
+ * so small jobs overtake large ones as long as their team's virtual time isn't ahead of the others'
+ * by more than the difference. A queue that was empty resumes at the current virtual time, so a
+ * team gets no credit for idle time.
+ *
+ * <p>Urgent jobs come first, within a team and among the teams. With {@link QueueOrder#FIFO} there
+ * is a single queue for all teams, in order of arrival.
  */
 final class WorkQueue {
     private static final class TeamQueue {
@@ -39,12 +43,12 @@
     }
 
     void add(Job job) {
-        TeamQueue lane =
+        TeamQueue queue =
                 mTeamQueues.computeIfAbsent(teamKey(job), team -> new TeamQueue(jobOrder()));
-        if (lane.mJobs.isEmpty()) {
-            lane.mVirtualTimeMs = Math.max(lane.mVirtualTimeMs, mVirtualTimeMs);
+        if (queue.mJobs.isEmpty()) {
+            queue.mVirtualTimeMs = Math.max(queue.mVirtualTimeMs, mVirtualTimeMs);
         }
-        lane.mJobs.add(job);
+        queue.mJobs.add(job);
     }
 
     private String teamKey(Job job) {
@@ -60,29 +64,32 @@
         return urgentFirst.thenComparingDouble(Job::workMs).thenComparing(arrival);
     }
 
-    /** The lanes' first jobs, in the order in which they are to be served. */
+    /** The first jobs of all team queues, in the order in which they are to be served. */
     List<Job> firstJobs() {
-        List<TeamQueue> lanes = new ArrayList<>();
-        for (TeamQueue lane : mTeamQueues.values()) {
-            if (firstJob(lane).isPresent()) {
-                lanes.add(lane);
+        List<TeamQueue> queues = new ArrayList<>();
+        for (TeamQueue queue : mTeamQueues.values()) {
+            if (firstJob(queue).isPresent()) {
+                queues.add(queue);
             }
         }
         Comparator<TeamQueue> urgentFirst =
-                Comparator.comparing(lane -> !mUrgent.test(lane.mJobs.peek()));
-        lanes.sort(urgentFirst.thenComparingDouble(WorkQueue::virtualFinishMs));
-        return lanes.stream().map(lane -> lane.mJobs.peek()).toList();
+                Comparator.comparing(queue -> !mUrgent.test(queue.mJobs.peek()));
+        queues.sort(urgentFirst.thenComparingDouble(WorkQueue::virtualFinishMs));
+        return queues.stream().map(queue -> queue.mJobs.peek()).toList();
     }
 
-    private static double virtualFinishMs(TeamQueue lane) {
-        return lane.mVirtualTimeMs + lane.mJobs.peek().remainingMs();
+    private static double virtualFinishMs(TeamQueue queue) {
+        return queue.mVirtualTimeMs + queue.mJobs.peek().remainingMs();
     }
 
-    /** Up to {@code most} jobs behind a lane's first one, for when the first one finds no room. */
-    List<Job> backfillCandidates(Job head, int most) {
+    /**
+     * Up to {@code limit} jobs behind the first one of a team queue, to try if the first one
+     * doesn't fit on any target.
+     */
+    List<Job> backfillCandidates(Job head, int limit) {
         List<Job> jobs = new ArrayList<>();
         for (Job job : mTeamQueues.get(teamKey(head)).mJobs) {
-            if (jobs.size() == most) {
+            if (jobs.size() == limit) {
                 break;
             }
             if (job != head && job.nextTask().isPresent()) {
@@ -92,24 +99,24 @@
         return jobs;
     }
 
-    private Optional<Job> firstJob(TeamQueue lane) {
-        while (!lane.mJobs.isEmpty() && lane.mJobs.peek().nextTask().isEmpty()) {
-            lane.mJobs.poll();
+    private Optional<Job> firstJob(TeamQueue queue) {
+        while (!queue.mJobs.isEmpty() && queue.mJobs.peek().nextTask().isEmpty()) {
+            queue.mJobs.poll();
         }
-        return Optional.ofNullable(lane.mJobs.peek());
+        return Optional.ofNullable(queue.mJobs.peek());
     }
 
-    /** Accounts for a started task. */
+    /** Charges a started task to its team queue. */
     void charge(Job job, double workMs, double weight) {
-        TeamQueue lane = mTeamQueues.get(teamKey(job));
-        lane.mVirtualTimeMs += workMs / weight;
-        mVirtualTimeMs = Math.max(mVirtualTimeMs, lane.mVirtualTimeMs - workMs / weight);
+        TeamQueue queue = mTeamQueues.get(teamKey(job));
+        queue.mVirtualTimeMs += workMs / weight;
+        mVirtualTimeMs = Math.max(mVirtualTimeMs, queue.mVirtualTimeMs - workMs / weight);
     }
 
-    /** A task of the job is waiting again. */
+    /** Adds a job again if it is no longer queued, for a task that is to be started again. */
     void requeue(Job job) {
-        TeamQueue lane = mTeamQueues.get(teamKey(job));
-        if (lane == null || !lane.mJobs.contains(job)) {
+        TeamQueue queue = mTeamQueues.get(teamKey(job));
+        if (queue == null || !queue.mJobs.contains(job)) {
             add(job);
         }
     }
--- a/core/src/main/java/org/boragegap/core/dispatch/package-info.java
+++ b/core/src/main/java/org/boragegap/core/dispatch/package-info.java
@@ -1,2 +1,2 @@
-/** The dispatcher's events, actions and the state machine that ties the decisions together. */
+/** The dispatcher of an entry VM: a state machine from events to actions. */
 package org.boragegap.core.dispatch;
