--- a/core/src/test/java/org/boragegap/core/claim/AbsentFromTheListTest.java
+++ b/core/src/test/java/org/boragegap/core/claim/AbsentFromTheListTest.java
@@ -8,7 +8,7 @@
 import org.boragegap.core.ClockReading;
 import org.junit.jupiter.api.Test;
 
-/** A VM that holds a view alone is missing from the platform's list, and hears nobody. */
+/** The only member of a view is missing from the platform's list and receives no messages. */
 final class AbsentFromTheListTest {
     private static final ClaimLimits LIMITS = ClaimLimits.defaults();
     private static final long WALL_MS = 1_000_000;
@@ -50,7 +50,11 @@
                 .toList();
     }
 
-    /** Guards against one submission being started by two VMs that each think to be alone. */
+    /**
+     * Guards against one submission being started by two VMs, each of which is the only member of
+     * its view: the unlisted one, and a new one that took the view over because the first was
+     * unlisted and silent.
+     */
     @Test
     void oneSubmissionIsNotGrantedTwice() {
         read(mA, LOGGED, 0);
--- a/core/src/test/java/org/boragegap/core/claim/ClaimProtocolTest.java
+++ b/core/src/test/java/org/boragegap/core/claim/ClaimProtocolTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Nested;
 import org.junit.jupiter.api.Test;
 
-/** Focused cases of the claim protocol with two members, whose messages are handed over by hand. */
+/** Cases of the claim protocol with two members, between which the tests deliver the messages. */
 final class ClaimProtocolTest {
     private static final ClaimLimits LIMITS =
             new ClaimLimits(60_000, 100, 4_000, 200, 1_000, 10_000);
@@ -23,7 +23,8 @@
     private final ClaimProtocol mB = ClaimProtocol.create(B, "fd", LIMITS, () -> 2);
 
     ClaimProtocolTest() {
-        // Both were alone at first, so that they hold all claims of the view before.
+        // Each starts as the only member of a parent view, so that it holds all claims of that
+        // view.
         install(mA, A);
         install(mB, B);
     }
@@ -52,7 +53,7 @@
         return out;
     }
 
-    /** Hands over what one member sent to the other; returns what the other does then. */
+    /** Delivers one member's messages to the other and returns the other's actions. */
     private static List<ClaimAction> deliver(
             Member from, ClaimProtocol to, List<ClaimAction> actions, long ms) {
         List<ClaimAction> out = new ArrayList<>();
@@ -78,10 +79,10 @@
     final class Grants {
         @Test
         void aClaimIsGrantedWhenTheSiblingHasAcknowledgedIt() {
-            List<ClaimAction> asked = requestClaim(mA, 10);
-            assertThat(outcomes(asked)).isEmpty();
-            List<ClaimAction> acknowledged = deliver(A, mB, asked, 11);
-            assertThat(outcomes(deliver(B, mA, acknowledged, 12)))
+            List<ClaimAction> requests = requestClaim(mA, 10);
+            assertThat(outcomes(requests)).isEmpty();
+            List<ClaimAction> acknowledgements = deliver(A, mB, requests, 11);
+            assertThat(outcomes(deliver(B, mA, acknowledgements, 12)))
                     .containsExactly(new ClaimOutcome.Granted());
         }
 
@@ -118,8 +119,9 @@
     @Nested
     final class UnknownOutcomes {
         /**
-         * A sibling falls silent while a claim waits for it. The caller must not be told that the
-         * job was not run: a view unknown here may have started an earlier copy of it.
+         * The sibling doesn't answer while a claim waits for its acknowledgement. The caller must
+         * not be told that the job was not run: a member of a view that is not known here may have
+         * started an earlier submission of it.
          */
         @Test
         void aClaimWithoutAnAcknowledgementEndsAsUnknown() {
@@ -147,25 +149,25 @@
     @Nested
     final class ViewExpiry {
         /**
-         * Both members are cut off from the log for longer than it keeps records. A new VM finds no
-         * view there and starts one of its own. A copy of a job reaches the old members: if they
-         * went on, it would be started in both views.
+         * Both members are disconnected from the log for longer than it keeps records. A new VM
+         * finds no view on the log and starts one of its own. If the old members went on, a job
+         * that is submitted to both views would be started in both.
          */
         @Test
         void membersOfAnExpiredViewStopClaiming() {
-            long late = LIMITS.viewExpiryMs() + 1;
+            long expiredMs = LIMITS.viewExpiryMs() + 1;
             List<ClaimAction> out = new ArrayList<>();
-            mA.requestClaim(KEY, WALL_MS + late, 5, at(late), out);
+            mA.requestClaim(KEY, WALL_MS + expiredMs, 5, at(expiredMs), out);
             assertThat(out).isEmpty();
-            assertThat(mA.ready(at(late))).isFalse();
+            assertThat(mA.ready(at(expiredMs))).isFalse();
         }
 
         @Test
         void aMemberThatResumesAfterTheExpiryIsGrantedNothing() {
-            List<ClaimAction> asked = requestClaim(mA, 10);
-            List<ClaimAction> acknowledged = deliver(A, mB, asked, 11);
-            long late = LIMITS.viewExpiryMs() + 1;
-            assertThat(outcomes(deliver(B, mA, acknowledged, late))).isEmpty();
+            List<ClaimAction> requests = requestClaim(mA, 10);
+            List<ClaimAction> acknowledgements = deliver(A, mB, requests, 11);
+            long expiredMs = LIMITS.viewExpiryMs() + 1;
+            assertThat(outcomes(deliver(B, mA, acknowledgements, expiredMs))).isEmpty();
         }
     }
 }
--- a/core/src/test/java/org/boragegap/core/claim/UnlistedMemberTest.java
+++ b/core/src/test/java/org/boragegap/core/claim/UnlistedMemberTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** A VM finds a view whose only member the platform's list lacks. */
+/** A VM finds a view whose only member is missing from the platform's list. */
 final class UnlistedMemberTest {
     private static final ClaimLimits LIMITS = ClaimLimits.defaults();
     private static final long WALL_MS = 1_000_000;
@@ -56,7 +56,7 @@
         mC.onLog(batch, at(0), new ArrayList<>());
     }
 
-    /** Guards against a VM that answers being taken for dead since a list lacks it. */
+    /** Guards against a VM that sends messages being presumed dead because it is unlisted. */
     @Test
     void anUnlistedMemberThatSendsAHeartbeatIsNotPresumedDead() {
         mC.onVmsUnlisted(Set.of(A.address()));
@@ -65,7 +65,7 @@
         assertThat(proposals()).isEmpty();
     }
 
-    /** Guards against the same where the list goes on lacking it. */
+    /** The same with a VM that stays unlisted while it sends heartbeats. */
     @Test
     void anUnlistedMemberThatKeepsSendingHeartbeatsIsNotPresumedDead() {
         for (long ms = 0; ms <= UNLISTED_MS; ms += LIMITS.suspectMs() / 2) {
@@ -75,7 +75,7 @@
         assertThat(proposals()).isEmpty();
     }
 
-    /** Guards against one that the list shows again being taken for dead when it is silent. */
+    /** Guards against a VM that is listed again being presumed dead when it is silent. */
     @Test
     void aMemberThatIsListedAgainIsNotPresumedDead() {
         mC.onVmsUnlisted(Set.of(A.address()));
--- a/core/src/test/java/org/boragegap/core/claim/ViewLogTest.java
+++ b/core/src/test/java/org/boragegap/core/claim/ViewLogTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.api.Nested;
 import org.junit.jupiter.api.Test;
 
-/** What readers of the log make of view records that are late, lost, or past retention. */
+/** How readers of the log handle view records that are late, missing, or past retention. */
 final class ViewLogTest {
     private static final long RETENTION_MS = 1_000;
     private static final Member A = new Member("a:1", 1);
@@ -52,16 +52,17 @@
     @Nested
     final class LateStatements {
         /**
-         * A paused member wakes and states its old view again, after the next view took effect. A
-         * VM that starts when the next view's proposal has left the log would take the old view for
-         * the present one, and its members could start what the new ones had started.
+         * A member resumes after a pause and states its old view again, although the next view has
+         * taken effect. A VM that starts after the log's retention deleted the next view's proposal
+         * would take the old view for the current one, and the members of both views could start
+         * the same submission.
          */
         @Test
         void aReaderThatLacksLaterRecordsIgnoresAStatement() {
             DomainView root = root(10, 1, A);
-            ViewLog late = readerFrom(7, 900);
-            assertThat(late.apply(stated(8, root, 3, 800))).isFalse();
-            assertThat(late.currentView().isPresent()).isFalse();
+            ViewLog reader = readerFrom(7, 900);
+            assertThat(reader.apply(stated(8, root, 3, 800))).isFalse();
+            assertThat(reader.currentView().isPresent()).isFalse();
         }
 
         @Test
@@ -90,9 +91,10 @@
     @Nested
     final class LateFirstViews {
         /**
-         * Two VMs find an empty log and both write a first view; the loser's append comes late. The
-         * loser is paused, and wakes when the winner's record has left the log but its own has not.
-         * Taking its own for the first, it would start what the winner had started.
+         * Two VMs find an empty log and both append a first view; the second record is appended
+         * late. Its author is paused and resumes when the log's retention has deleted the first
+         * record but not its own. If it took its own view for the first one, it could start the
+         * same submissions as the other VM.
          */
         @Test
         void aFirstViewOlderThanTheReaderIsIgnored() {
--- a/core/src/test/java/org/boragegap/core/dispatch/DispatcherTest.java
+++ b/core/src/test/java/org/boragegap/core/dispatch/DispatcherTest.java
@@ -29,7 +29,7 @@
 import org.junit.jupiter.api.Nested;
 import org.junit.jupiter.api.Test;
 
-/** One dispatcher alone, with targets whose answers are made up by the tests. */
+/** A single dispatcher with targets whose answers the tests supply. */
 final class DispatcherTest {
     private static final String DOMAIN = "fd";
     private static final long WALL_MS = 1_800_000_000_000L;
@@ -80,14 +80,14 @@
 
     private Submission submission(
             Optional<String> service, boolean idempotent, int tasks, Resources need) {
-        List<TaskSpec> specs = new ArrayList<>();
+        List<TaskSpec> taskSpecs = new ArrayList<>();
         for (int i = 0; i < tasks; i++) {
-            specs.add(new TaskSpec(i, need, 100, ""));
+            taskSpecs.add(new TaskSpec(i, need, 100, ""));
         }
         String text = "id" + mNextId++;
         SubmissionId id = new SubmissionId(text, WALL_MS, Optional.of(DOMAIN), Optional.of("vm:1"));
         long deadlineMs = WALL_MS + mNowMs + 10_000;
-        return new Submission(id, "team", "kind", service, idempotent, deadlineMs, specs, 1);
+        return new Submission(id, "team", "kind", service, idempotent, deadlineMs, taskSpecs, 1);
     }
 
     private List<Action> submit(Submission submission) {
@@ -123,8 +123,8 @@
     @Nested
     final class Answers {
         /**
-         * Results of a job come doubled and out of order, as after a reconnect. The answer has each
-         * result once, in order, and only when all are there.
+         * The results of a job arrive out of order and one of them twice, as after a reconnect. The
+         * answer has each result once, in order, and comes only when all have arrived.
          */
         @Test
         void aJobIsAnsweredOnceAllResultsHaveArrived() {
@@ -139,14 +139,17 @@
             assertThat(mDispatcher.counters().count(Counters.Name.LATE_RESULTS)).isEqualTo(1);
         }
 
-        /** A worker dies with one task of a job: the job fails at once and the rest is stopped. */
+        /**
+         * A worker dies while it runs one task of a job: the job fails at once and its other task
+         * is stopped.
+         */
         @Test
         void aLostTaskFailsTheWholeJobAsMayHaveRun() {
             List<Action.Start> starts =
                     starts(submit(submission(Optional.empty(), true, 2, SMALL)));
-            List<Action> after = end(starts.get(0), new Outcome.Lost("worker died"));
-            assertThat(failure(after).kind()).isEqualTo(FailureKind.MAY_HAVE_RUN);
-            assertThat(after.stream().anyMatch(action -> action instanceof Action.Stop)).isTrue();
+            List<Action> actions = end(starts.get(0), new Outcome.Lost("worker died"));
+            assertThat(failure(actions).kind()).isEqualTo(FailureKind.MAY_HAVE_RUN);
+            assertThat(actions.stream().anyMatch(action -> action instanceof Action.Stop)).isTrue();
             assertThat(starts(advanceTime(50))).isEmpty();
         }
 
@@ -196,15 +199,16 @@
         }
 
         /**
-         * A meter billing's connection goes silent after the bytes were written. Whether the
-         * household was billed is not known, so it is not sent again and its caller is told so.
+         * The connection stops responding after a billing request was written. Whether it was
+         * processed is not known, so it is not sent again and its caller is told that it may have
+         * run.
          */
         @Test
         void aNonIdempotentRequestIsSentOnce() {
             Action.Start start = starts(submit(billing(false))).get(0);
-            List<Action> after = end(start, new Outcome.Lost("silent"));
-            assertThat(starts(after)).isEmpty();
-            assertThat(failure(after).kind()).isEqualTo(FailureKind.MAY_HAVE_RUN);
+            List<Action> actions = end(start, new Outcome.Lost("silent"));
+            assertThat(starts(actions)).isEmpty();
+            assertThat(failure(actions).kind()).isEqualTo(FailureKind.MAY_HAVE_RUN);
         }
 
         @Test
@@ -222,7 +226,10 @@
             assertThat(again.target().address()).isNotEqualTo(start.target().address());
         }
 
-        /** Every first try is lost, as in a cut: the budget bounds how much is sent again. */
+        /**
+         * Every first attempt is lost, as in a network partition: the retry budget limits the
+         * retries.
+         */
         @Test
         void retriesAreBoundedByTheBudget() {
             int retries = 0;
@@ -260,7 +267,10 @@
             assertThat(placed(40)).doesNotContainKey("m:2");
         }
 
-        /** The list lags and still shows the minion; its own word goes first, and stays. */
+        /**
+         * The list lags and still shows the minion as available. The minion's own report takes
+         * precedence over it.
+         */
         @Test
         void aMinionThatReportsItIsLeavingGetsNothingMore() {
             Submission request = submission(Optional.of("billing"), false, 1, Resources.NONE);
@@ -274,38 +284,41 @@
     @Nested
     final class FailingWorkers {
         /**
-         * A worker fails everything at once, so it always looks idle. After a few failures it gets
-         * nothing but one probe at a time, with growing pauses, and it comes back when it works.
+         * A worker fails every task at once, so it always looks idle. After a few failures it gets
+         * only one probe at a time, at growing intervals, until it works again.
          */
         @Test
         void aWorkerThatFailsEverythingIsQuarantined() {
-            int atBadWorker = 0;
+            int atFailingWorker = 0;
             for (int i = 0; i < 200; i++) {
                 for (Action.Start start :
                         starts(submit(submission(Optional.empty(), false, 1, SMALL)))) {
-                    boolean bad = start.target().address().equals("w:1");
-                    atBadWorker += bad ? 1 : 0;
-                    end(start, bad ? new Outcome.Failed("broken") : done(start));
+                    boolean failing = start.target().address().equals("w:1");
+                    atFailingWorker += failing ? 1 : 0;
+                    end(start, failing ? new Outcome.Failed("broken") : done(start));
                 }
                 advanceTime(50);
             }
-            assertThat(atBadWorker).isAtMost(9);
-            int afterMending = 0;
+            assertThat(atFailingWorker).isAtMost(9);
+            int afterRecovery = 0;
             for (int i = 0; i < 100; i++) {
                 for (Action.Start start :
                         starts(submit(submission(Optional.empty(), false, 1, SMALL)))) {
-                    afterMending += start.target().address().equals("w:1") ? 1 : 0;
+                    afterRecovery += start.target().address().equals("w:1") ? 1 : 0;
                     end(start, done(start));
                 }
                 advanceTime(500);
             }
-            assertThat(afterMending).isAtLeast(20);
+            assertThat(afterRecovery).isAtLeast(20);
         }
     }
 
     @Nested
     final class LearnedNeeds {
-        /** Tasks use three times what they declare; after a while the workers aren't overfilled. */
+        /**
+         * Tasks use three times what they declare. Once that is learned, fewer are started on a
+         * worker.
+         */
         @Test
         void needsAreLearnedFromWhatWasUsed() {
             Resources used = new Resources(3_000, 300, 0);
@@ -321,7 +334,10 @@
 
     @Nested
     final class Cancelling {
-        /** A wave of cancellations, each twice: queued tasks never start, and it costs little. */
+        /**
+         * Many jobs are cancelled, each of them twice: their queued tasks never start and leave the
+         * queue.
+         */
         @Test
         void aCancelledJobStartsNothingMore() {
             List<Submission> all = new ArrayList<>();
@@ -342,16 +358,20 @@
 
     @Nested
     final class Overload {
-        /** More comes than fits before the deadlines: the rest is refused at once, spread out. */
+        /**
+         * More jobs are submitted than can run before their deadlines. The rest is rejected at
+         * once, with retry delays that are spread out.
+         */
         @Test
         void aJobThatCannotMeetItsDeadlineIsRejectedAtOnce() {
-            List<Long> comeBack = new ArrayList<>();
-            for (int i = 0; i < 20_000 && comeBack.size() < 50; i++) {
+            List<Long> retryDelaysMs = new ArrayList<>();
+            for (int i = 0; i < 20_000 && retryDelaysMs.size() < 50; i++) {
                 List<Action> actions = submit(submission(Optional.empty(), false, 4, SMALL));
-                answer(actions).ifPresent(a -> comeBack.add(((Answer.Failed) a).retryAfterMs()));
+                answer(actions)
+                        .ifPresent(a -> retryDelaysMs.add(((Answer.Failed) a).retryAfterMs()));
             }
-            assertThat(comeBack).hasSize(50);
-            assertThat(comeBack.stream().distinct().count()).isAtLeast(40);
+            assertThat(retryDelaysMs).hasSize(50);
+            assertThat(retryDelaysMs.stream().distinct().count()).isAtLeast(40);
         }
     }
 
@@ -371,7 +391,10 @@
             assertThat(drained(advanceTime(50))).isEmpty();
         }
 
-        /** A straggler outlasts the bound: its caller gets an answer, and isn't cut off. */
+        /**
+         * A task is still running when the drain times out: its caller gets an answer before the
+         * process exits.
+         */
         @Test
         void unfinishedJobsFailWhenTheDrainTimesOut() {
             submit(submission(Optional.empty(), false, 1, SMALL));
--- a/core/src/test/java/org/boragegap/core/dispatch/FakeLog.java
+++ b/core/src/test/java/org/boragegap/core/dispatch/FakeLog.java
@@ -5,7 +5,7 @@
 import org.boragegap.core.claim.LoggedView;
 import org.boragegap.core.claim.ViewRecord;
 
-/** The platform's log with limited retention, for histories. */
+/** An in-memory log with limited retention, in place of the platform's, for {@link History}. */
 final class FakeLog {
     private record Item(long atMs, ViewRecord record) {}
 
--- a/core/src/test/java/org/boragegap/core/dispatch/FakeVm.java
+++ b/core/src/test/java/org/boragegap/core/dispatch/FakeVm.java
@@ -5,7 +5,10 @@
 import org.boragegap.core.ClockReading;
 import org.boragegap.core.claim.Member;
 
-/** One entry VM of a history: a dispatcher, its clocks, and whether it runs, sleeps or is dead. */
+/**
+ * One entry VM of a {@link History}: a dispatcher, its clocks, and whether it is running, paused or
+ * dead.
+ */
 final class FakeVm {
     private static final long MONOTONIC_START = 1_000_000;
 
--- a/core/src/test/java/org/boragegap/core/dispatch/HistoriesProperties.java
+++ b/core/src/test/java/org/boragegap/core/dispatch/HistoriesProperties.java
@@ -9,9 +9,10 @@
 import net.jqwik.api.ShrinkingMode;
 
 /**
- * Clients submit their jobs again elsewhere while entry VMs are killed, replaced, paused and cut
- * off, and the log is slow, out, or past its retention. However it goes, no task starts twice, an
- * answer is whole or a failure, and what was said not to have run has not run.
+ * Runs simulated histories in which clients submit their jobs again to other entry VMs, while entry
+ * VMs are killed, replaced, paused and disconnected, and the log is slow, unavailable, or past its
+ * retention. In all of them no task starts twice, every answer has all results or is a failure, and
+ * nothing had run of a submission that was answered as not run.
  */
 final class HistoriesProperties {
     private static final int HISTORIES_PER_TRY = Integer.getInteger("boragegap.histories", 100);
--- a/core/src/test/java/org/boragegap/core/dispatch/History.java
+++ b/core/src/test/java/org/boragegap/core/dispatch/History.java
@@ -26,8 +26,9 @@
 import org.boragegap.core.membership.VmKind;
 
 /**
- * One seeded history: a few entry VMs in up to three failure domains, jobs that are submitted again
- * and again anywhere, and failures at random moments. It counts the starts of every task.
+ * One simulated history, determined by its seed: a few entry VMs in up to three failure domains,
+ * jobs that are submitted repeatedly to random VMs, and failures at random times. It counts the
+ * starts of every task.
  */
 final class History {
     static final ClaimLimits LIMITS = new ClaimLimits(40_000, 300, 4_000, 250, 1_000, 30_000);
@@ -74,7 +75,7 @@
         at(2_500, this::scheduleFailures);
     }
 
-    /** Runs it and returns what went against the promises. */
+    /** Runs the history and returns the violations of the dispatchers' guarantees. */
     List<String> run() {
         long endMs = START_MS + LENGTH_MS;
         while (!mEvents.isEmpty() && mEvents.peek().atMs() <= endMs) {
@@ -101,8 +102,8 @@
         mEvents.add(new Scheduled(mNowMs + delayMs, mSequence++, action));
     }
 
-    private long random(long most) {
-        return mRandom.nextLong(most);
+    private long random(long bound) {
+        return mRandom.nextLong(bound);
     }
 
     private boolean chance(int percent) {
@@ -176,7 +177,7 @@
         at(random(8), () -> deliver(vm, new Event.LogRead(batch, List.of())));
     }
 
-    /** Hands an event to a VM; one that is paused takes it when it wakes. */
+    /** Delivers an event to a VM; a paused VM handles it when it resumes. */
     private void deliver(FakeVm vm, Event event) {
         if (!vm.mAlive) {
             return;
@@ -188,7 +189,7 @@
         List<Action> actions = new ArrayList<>();
         vm.mDispatcher.onEvent(event, vm.clock(mNowMs), actions);
         checkRefusals(event, actions);
-        // A pause may fall between a decision and the send that carries it out.
+        // A process may be paused between a decision and the send that executes it.
         if (chance(1) && chance(30)) {
             pause(vm);
             vm.mDeferred.add(() -> actions.forEach(action -> execute(vm, action)));
@@ -284,10 +285,10 @@
 
     private void reply(FakeVm vm, Action.Reply reply) {
         if (reply.caller() instanceof CallerRef.PeerCaller peer) {
-            FakeVm asker = mLinks.get(peer.link());
-            if (!cut(vm, asker.mMember.address())) {
+            FakeVm requester = mLinks.get(peer.link());
+            if (!cut(vm, requester.mMember.address())) {
                 Event event = new Event.ForwardAnswered(peer.forwardId(), reply.answer());
-                at(1 + random(3), () -> deliver(asker, event));
+                at(1 + random(3), () -> deliver(requester, event));
             }
         } else if (reply.caller() instanceof CallerRef.HttpCaller caller) {
             answered(caller.token(), reply);
@@ -317,17 +318,17 @@
         }
     }
 
-    /** At the moment of a refusal nothing of it has been started. */
+    /** Checks that nothing of a submission has been started when it is answered as not run. */
     private void checkRefusals(Event event, List<Action> actions) {
         if (event instanceof Event.ForwardAnswered) {
             return;
         }
         for (Action action : actions) {
-            boolean refusal =
+            boolean notRun =
                     action instanceof Action.Reply reply
                             && reply.answer() instanceof Answer.Failed failed
                             && failed.kind().nothingRan();
-            if (refusal) {
+            if (notRun) {
                 Action.Reply reply = (Action.Reply) action;
                 checkNotRun(reply.id().text(), (Answer.Failed) reply.answer());
             }
@@ -399,7 +400,7 @@
         }
     }
 
-    /** The process dies, and a new one comes at the same address. */
+    /** Kills the VM's process and starts a new one at the same address later. */
     private void replace(FakeVm vm) {
         vm.mAlive = false;
         at(random(4_000), () -> startVm(vm.mMember.address(), vm.mDomain));
--- a/core/src/test/java/org/boragegap/core/dispatch/HistoryFigures.java
+++ b/core/src/test/java/org/boragegap/core/dispatch/HistoryFigures.java
@@ -4,11 +4,11 @@
 import java.util.Map;
 import org.boragegap.core.job.FailureKind;
 
-/** Prints figures over many histories; docs/MEASURING.md has the command. */
+/** Runs many histories and prints totals as JSON; docs/MEASURING.md has the command. */
 final class HistoryFigures {
     private HistoryFigures() {}
 
-    /** Runs as many histories as the first argument says. */
+    /** Runs the histories; the first argument is their number. */
     public static void main(String[] arguments) {
         int histories = Integer.parseInt(arguments[0]);
         long startedNs = System.nanoTime();
