--- a/core/src/main/java/org/boragegap/core/claim/ViewManager.java
+++ b/core/src/main/java/org/boragegap/core/claim/ViewManager.java
@@ -109,18 +109,18 @@
 
     /** Handles a peer's view; true when the current view changed. */
     boolean onViewIs(
-            Member from, ClaimMessage.ViewIs is, ClockReading clock, List<ClaimAction> out) {
-        mPeerSentMs.put(from, is.sentMs());
-        boolean changed = mLog.adopt(is.view());
+            Member from, ClaimMessage.ViewIs message, ClockReading clock, List<ClaimAction> out) {
+        mPeerSentMs.put(from, message.sentMs());
+        boolean changed = mLog.adopt(message.view());
         if (changed) {
             mLastStatedMs = Long.MIN_VALUE / 2;
         }
-        updateLastStated(is);
+        updateLastStated(message);
         if (changed) {
             onViewChanged(clock, out);
         }
-        boolean sameView = is.view().uid() == currentView().map(DomainView::uid).orElse(0L);
-        if (sameView && is.complete()) {
+        boolean sameView = message.view().uid() == currentView().map(DomainView::uid).orElse(0L);
+        if (sameView && message.complete()) {
             mPeersWithAllClaims.add(from);
         }
         return changed;
@@ -132,10 +132,10 @@
      * the local time that it echoes, so subtracting the age from that time never makes the
      * statement look younger than it is.
      */
-    private void updateLastStated(ClaimMessage.ViewIs is) {
-        boolean sameView = is.view().uid() == currentView().map(DomainView::uid).orElse(0L);
-        if (sameView && is.echoMs() != ClaimMessage.ViewIs.NO_ECHO) {
-            mLastStatedMs = Math.max(mLastStatedMs, is.echoMs() - is.statedAgeMs());
+    private void updateLastStated(ClaimMessage.ViewIs message) {
+        boolean sameView = message.view().uid() == currentView().map(DomainView::uid).orElse(0L);
+        if (sameView && message.echoMs() != ClaimMessage.ViewIs.NO_ECHO) {
+            mLastStatedMs = Math.max(mLastStatedMs, message.echoMs() - message.statedAgeMs());
         }
     }
 
@@ -236,7 +236,7 @@
      */
     private void resetContactsAfterPause(ClockReading clock) {
         if (clock.monotonicMs() - mLastTickMs > mLimits.suspectMs() / 2) {
-            mLastContactMs.replaceAll((member, heardMs) -> clock.monotonicMs());
+            mLastContactMs.replaceAll((member, lastContactMs) -> clock.monotonicMs());
         }
         mLastTickMs = clock.monotonicMs();
     }
@@ -245,8 +245,8 @@
         if (!mLog.empty()) {
             return;
         }
-        boolean first = mReadFromLogStart && !mSawAnyRecord;
-        long coverage = first ? DomainView.COVERS_ALL : coverageFromNow(clock);
+        boolean firstEver = mReadFromLogStart && !mSawAnyRecord;
+        long coverageStartMs = firstEver ? DomainView.COVERS_ALL : coverageFromNow(clock);
         List<Member> members = List.of(mSelf);
         propose(
                 new DomainView(
@@ -255,7 +255,7 @@
                         DomainView.NO_PARENT,
                         members,
                         List.of(),
-                        coverage),
+                        coverageStartMs),
                 clock,
                 out);
     }
@@ -289,12 +289,12 @@
      * Proposes a view of this member alone. The other members are presumed dead, so only the
      * knowledge of their claims is lost, which the coverage start accounts for.
      */
-    private void takeOver(DomainView lost, ClockReading clock, List<ClaimAction> out) {
+    private void takeOver(DomainView previous, ClockReading clock, List<ClaimAction> out) {
         propose(
                 new DomainView(
-                        lost.number() + 1,
+                        previous.number() + 1,
                         mUids.getAsLong(),
-                        lost.uid(),
+                        previous.uid(),
                         List.of(mSelf),
                         List.of(),
                         coverageFromNow(clock)),
@@ -328,8 +328,8 @@
     }
 
     /**
-     * The first unsuspected member proposes a view at once; the others wait until it has been
-     * silent for the suspect timeout.
+     * How long this member waits before it proposes a view: not at all if it is the first
+     * unsuspected member, otherwise until that one has been silent for the suspect timeout.
      */
     private long proposalDelayMs(DomainView view, ClockReading clock) {
         return unsuspectedMembers(view, clock).get(0).equals(mSelf) ? 0 : mLimits.suspectMs();
@@ -364,7 +364,7 @@
         }
         mJoinRequestMs
                 .values()
-                .removeIf(asked -> clock.monotonicMs() - asked > mLimits.suspectMs());
+                .removeIf(requestMs -> clock.monotonicMs() - requestMs > mLimits.suspectMs());
         for (Member joiner : mJoinRequestMs.keySet()) {
             next.removeIf(member -> member.address().equals(joiner.address()));
             next.add(joiner);
@@ -404,8 +404,8 @@
      * have been lost; if both are appended, the log's order decides between them.
      */
     private void propose(DomainView next, ClockReading clock, List<ClaimAction> out) {
-        long pauseMs = PROPOSAL_INTERVAL_FACTOR * mLimits.resendMs();
-        if (clock.monotonicMs() - mLastProposalMs < pauseMs) {
+        long intervalMs = PROPOSAL_INTERVAL_FACTOR * mLimits.resendMs();
+        if (clock.monotonicMs() - mLastProposalMs < intervalMs) {
             return;
         }
         mLastProposalMs = clock.monotonicMs();
--- a/core/src/main/java/org/boragegap/core/dispatch/Dispatcher.java
+++ b/core/src/main/java/org/boragegap/core/dispatch/Dispatcher.java
@@ -260,8 +260,8 @@
         } else if (action instanceof ClaimAction.Append append) {
             mCounters.increment(Counters.Name.APPENDS);
             out.add(new Action.AppendView(append.record()));
-        } else if (action instanceof ClaimAction.Resolve decide) {
-            mRouter.onClaimResolved(decide, clock, out);
+        } else if (action instanceof ClaimAction.Resolve resolve) {
+            mRouter.onClaimResolved(resolve, clock, out);
         }
     }
 
--- a/core/src/main/java/org/boragegap/core/dispatch/Drain.java
+++ b/core/src/main/java/org/boragegap/core/dispatch/Drain.java
@@ -19,12 +19,12 @@
     }
 
     /** Starts the drain; has no effect if it was started before. */
-    void start(long boundMs, long answeredBefore) {
+    void start(long deadlineMs, long answeredBefore) {
         if (mActive) {
             return;
         }
         mActive = true;
-        mDeadlineMs = boundMs;
+        mDeadlineMs = deadlineMs;
         mAnsweredBefore = answeredBefore;
     }
 
--- a/core/src/main/java/org/boragegap/core/dispatch/JobScheduler.java
+++ b/core/src/main/java/org/boragegap/core/dispatch/JobScheduler.java
@@ -39,7 +39,7 @@
     private static final long MIN_RESULT_TIMEOUT_MS = 1_000;
     private static final double RESULT_TIMEOUT_FACTOR = 5;
 
-    private record Attempt(Job job, TaskSpec task, Placer.Allocation place) {}
+    private record Attempt(Job job, TaskSpec task, Placer.Allocation allocation) {}
 
     private record Deadline(long wallMs, Job job) {}
 
@@ -160,8 +160,8 @@
         boolean started = true;
         while (started && mBacklog.tasks() > 0) {
             started = false;
-            for (Job head : mQueue.firstJobs()) {
-                if (startFirstFitting(head, clock, out)) {
+            for (Job first : mQueue.firstJobs()) {
+                if (startFirstFitting(first, clock, out)) {
                     started = true;
                     break;
                 }
@@ -190,14 +190,14 @@
      * Starts a task of the first job or, if that job's next task fits on no target, of one of the
      * jobs behind it, so that a large task doesn't block smaller ones.
      */
-    private boolean startFirstFitting(Job head, ClockReading clock, List<Action> out) {
-        if (!withinQuota(head)) {
+    private boolean startFirstFitting(Job first, ClockReading clock, List<Action> out) {
+        if (!withinQuota(first)) {
             return false;
         }
-        if (start(head, clock, out)) {
+        if (start(first, clock, out)) {
             return true;
         }
-        for (Job next : mQueue.backfillCandidates(head, BACKFILL_LIMIT)) {
+        for (Job next : mQueue.backfillCandidates(first, BACKFILL_LIMIT)) {
             if (start(next, clock, out)) {
                 return true;
             }
@@ -220,24 +220,28 @@
         TaskSpec task = next.get();
         Submission submission = job.submission();
         Resources need = mStatistics.estimatedNeed(submission.kind(), task);
-        Optional<Placer.Allocation> place =
+        Optional<Placer.Allocation> allocation =
                 mPlacer.place(
                         serviceOf(submission), need, job.avoidedTargets(task), clock.monotonicMs());
-        if (place.isEmpty()) {
+        if (allocation.isEmpty()) {
             return false;
         }
-        startAttempt(job, task, place.get(), clock, out);
+        startAttempt(job, task, allocation.get(), clock, out);
         return true;
     }
 
     private void startAttempt(
-            Job job, TaskSpec task, Placer.Allocation place, ClockReading clock, List<Action> out) {
+            Job job,
+            TaskSpec task,
+            Placer.Allocation allocation,
+            ClockReading clock,
+            List<Action> out) {
         long id = mNextAttempt++;
         Submission submission = job.submission();
         double workMs = mStatistics.estimatedMs(submission.kind(), task);
         mBacklog.remove(serviceOf(submission), 1, workMs);
         job.started(task, id);
-        mAttempts.put(id, new Attempt(job, task, place));
+        mAttempts.put(id, new Attempt(job, task, allocation));
         mRunningByTeam.merge(submission.team(), 1, Integer::sum);
         mQueue.charge(job, workMs, mBundle.get().teamQuota(submission.team()).weight());
         if (job.avoidedTargets(task).isEmpty()) {
@@ -248,7 +252,7 @@
         long timeoutMs = timeoutMs(submission, workMs, clock);
         out.add(
                 new Action.Start(
-                        id, place.target().target(), submission, task, startByMs, timeoutMs));
+                        id, allocation.target().target(), submission, task, startByMs, timeoutMs));
     }
 
     /**
@@ -256,13 +260,13 @@
      * again, so that an unresponsive connection costs it only one short wait.
      */
     private static long timeoutMs(Submission submission, double workMs, ClockReading clock) {
-        long leftMs = Math.max(1, submission.deadlineMs() - clock.wallMs());
+        long remainingMs = Math.max(1, submission.deadlineMs() - clock.wallMs());
         if (submission.service().isEmpty() || !submission.idempotent()) {
-            return leftMs;
+            return remainingMs;
         }
         long resultTimeoutMs =
                 Math.max(MIN_RESULT_TIMEOUT_MS, (long) (RESULT_TIMEOUT_FACTOR * workMs));
-        return Math.min(leftMs, resultTimeoutMs);
+        return Math.min(remainingMs, resultTimeoutMs);
     }
 
     /** Handles the end of an attempt; an unknown attempt is only counted as a late result. */
@@ -273,7 +277,7 @@
             return;
         }
         Job job = attempt.job();
-        mPlacer.onEnded(attempt.place(), outcome, clock.monotonicMs());
+        mPlacer.onEnded(attempt.allocation(), outcome, clock.monotonicMs());
         mRunningByTeam.merge(job.submission().team(), -1, Integer::sum);
         if (outcome instanceof Outcome.NotRun) {
             job.notRun(id);
@@ -312,7 +316,7 @@
         if (job.answer().isPresent()) {
             return;
         }
-        job.avoid(attempt.task(), attempt.place().target().target().address());
+        job.avoid(attempt.task(), attempt.allocation().target().target().address());
         if (job.avoidedTargets(attempt.task()).size() >= MAX_REFUSALS) {
             String reason = "refused by " + MAX_REFUSALS + " targets, last: " + refused.reason();
             finish(job, abandonedAnswer(job, reason, clock), clock, out);
@@ -338,7 +342,7 @@
         boolean repeatable = submission.service().isPresent() && submission.idempotent();
         if (repeatable && job.answer().isEmpty() && mRetryBudget.trySpend()) {
             mCounters.increment(Counters.Name.RETRIES);
-            job.avoid(attempt.task(), attempt.place().target().target().address());
+            job.avoid(attempt.task(), attempt.allocation().target().target().address());
             requeue(job, attempt.task());
             return;
         }
@@ -363,7 +367,9 @@
         job.answer(answer);
         mUnanswered--;
         for (long attempt : job.attempts()) {
-            out.add(new Action.Stop(attempt, mAttempts.get(attempt).place().target().target()));
+            out.add(
+                    new Action.Stop(
+                            attempt, mAttempts.get(attempt).allocation().target().target()));
         }
         for (CallerRef caller : job.takeCallers()) {
             out.add(new Action.Reply(caller, id, answer));
--- a/core/src/main/java/org/boragegap/core/dispatch/SubmissionRouter.java
+++ b/core/src/main/java/org/boragegap/core/dispatch/SubmissionRouter.java
@@ -138,7 +138,7 @@
     private void onMintedId(Event.Submitted event, String minter, List<Action> out) {
         Submission submission = event.submission();
         if (minter.equals(mSelfAddress) || event.hops() >= MAX_HOPS) {
-            String reason = "the VM that holds this id no longer knows it";
+            String reason = "the VM that minted this id no longer knows it";
             Answer answer = Replies.failed(FailureKind.MAY_HAVE_RUN, reason);
             mReplies.reply(event.caller(), submission, answer, out);
             return;
@@ -273,11 +273,11 @@
      * the submission before it starts anything.
      */
     void onForwardLost(Event.ForwardLost event, ClockReading clock, List<Action> out) {
-        Optional<Forwards.Forward> lost = mForwards.remove(event.forwardId());
-        if (lost.isEmpty()) {
+        Optional<Forwards.Forward> removed = mForwards.remove(event.forwardId());
+        if (removed.isEmpty()) {
             return;
         }
-        Forwards.Forward forward = lost.get();
+        Forwards.Forward forward = removed.get();
         Submission submission = forward.submission();
         mEntryVms.onUnreachable(forward.address(), clock.monotonicMs());
         Optional<String> home = homeOf(submission.id());
@@ -310,10 +310,10 @@
     }
 
     /** Handles the outcome of a claim that was requested here. */
-    void onClaimResolved(ClaimAction.Resolve decide, ClockReading clock, List<Action> out) {
-        PendingSubmission pending = mPending.remove(decide.key());
+    void onClaimResolved(ClaimAction.Resolve resolve, ClockReading clock, List<Action> out) {
+        PendingSubmission pending = mPending.remove(resolve.key());
         if (pending != null) {
-            onClaimOutcome(pending, decide.outcome(), clock, out);
+            onClaimOutcome(pending, resolve.outcome(), clock, out);
         }
     }
 
--- a/core/src/main/java/org/boragegap/core/dispatch/WorkQueue.java
+++ b/core/src/main/java/org/boragegap/core/dispatch/WorkQueue.java
@@ -86,13 +86,13 @@
      * Up to {@code limit} jobs behind the first one of a team queue, to try if the first one
      * doesn't fit on any target.
      */
-    List<Job> backfillCandidates(Job head, int limit) {
+    List<Job> backfillCandidates(Job first, int limit) {
         List<Job> jobs = new ArrayList<>();
-        for (Job job : mTeamQueues.get(teamKey(head)).mJobs) {
+        for (Job job : mTeamQueues.get(teamKey(first)).mJobs) {
             if (jobs.size() == limit) {
                 break;
             }
-            if (job != head && job.nextTask().isPresent()) {
+            if (job != first && job.nextTask().isPresent()) {
                 jobs.add(job);
             }
         }
--- a/core/src/test/java/org/boragegap/core/claim/ClaimProtocolTest.java
+++ b/core/src/test/java/org/boragegap/core/claim/ClaimProtocolTest.java
@@ -66,13 +66,13 @@
     }
 
     private static List<ClaimOutcome> outcomes(List<ClaimAction> actions) {
-        List<ClaimOutcome> verdicts = new ArrayList<>();
+        List<ClaimOutcome> outcomes = new ArrayList<>();
         for (ClaimAction action : actions) {
-            if (action instanceof ClaimAction.Resolve decide) {
-                verdicts.add(decide.outcome());
+            if (action instanceof ClaimAction.Resolve resolve) {
+                outcomes.add(resolve.outcome());
             }
         }
-        return verdicts;
+        return outcomes;
     }
 
     @Nested
