--- a/bench/src/main/java/org/boragegap/bench/ClaimBenchmark.java
+++ b/bench/src/main/java/org/boragegap/bench/ClaimBenchmark.java
@@ -27,7 +27,10 @@
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
 
-/** One claim from wanting it to having it, with the work of all members of the view. */
+/**
+ * Measures one claim from its request until it is granted, including the work of all members of the
+ * view.
+ */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
@@ -37,11 +40,11 @@
 public class ClaimBenchmark {
     private static final ClaimLimits LIMITS = ClaimLimits.defaults();
 
-    /** Members of the view. */
+    /** Number of members of the view. */
     @Param({"1", "2", "3"})
     public int mMembers;
 
-    /** Claims that each member keeps; the oldest make room for new ones. */
+    /** Number of claims that each member keeps; the oldest ones expire as new ones are made. */
     @Param({"1000", "100000"})
     public int mKept;
 
@@ -49,7 +52,7 @@
     private final List<Member> mMemberList = new ArrayList<>();
     private long mNextId;
 
-    /** Installs one view at all members and fills their memory. */
+    /** Installs one view at all members and makes as many claims as are to be kept. */
     @Setup
     public void setUp() {
         for (int i = 0; i < mMembers; i++) {
@@ -78,7 +81,7 @@
         protocol.onLog(batch, new ClockReading(1, 1), new ArrayList<>());
     }
 
-    /** A claim; time passes so that as many claims are kept as wanted. */
+    /** Makes a claim; the clock advances such that {@link #mKept} claims are kept. */
     @Benchmark
     public void claim() {
         long number = ++mNextId;
@@ -104,10 +107,10 @@
         sibling.onMessage(self, send.message(), clock, replies);
         Member from = new Member(send.address(), 1);
         for (ClaimAction reply : replies) {
-            if (reply instanceof ClaimAction.Send back) {
+            if (reply instanceof ClaimAction.Send answer) {
                 mProtocols
                         .get(self.address())
-                        .onMessage(from, back.message(), clock, new ArrayList<>());
+                        .onMessage(from, answer.message(), clock, new ArrayList<>());
             }
         }
     }
--- a/bench/src/main/java/org/boragegap/bench/PlacementBenchmark.java
+++ b/bench/src/main/java/org/boragegap/bench/PlacementBenchmark.java
@@ -34,7 +34,7 @@
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
 
-/** One task from its submission over its placement to its answer, through the whole dispatcher. */
+/** Measures one task from its submission and placement to its answer, in the whole dispatcher. */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
@@ -47,11 +47,11 @@
     private static final Resources NEED = new Resources(1_000, 512, 0);
     private static final int IN_FLIGHT = 100;
 
-    /** How many workers this VM places on. */
+    /** Number of workers that this VM places tasks on. */
     @Param({"30", "300", "1400"})
     public int mWorkers;
 
-    /** How many teams take turns. */
+    /** Number of teams that submit in turn. */
     @Param({"1", "180"})
     public int mTeams;
 
@@ -59,7 +59,7 @@
     private Dispatcher mDispatcher;
     private long mNextId;
 
-    /** Lists the workers and fills them a little. */
+    /** Lists the workers and starts {@link #IN_FLIGHT} tasks on them. */
     @Setup
     public void setUp() {
         mDispatcher =
@@ -106,7 +106,7 @@
         }
     }
 
-    /** Submits a task, places it, and ends the oldest one. */
+    /** Submits and places a task, and ends the oldest running one. */
     @Benchmark
     public void submitPlaceAndEnd() {
         submit();
--- a/bench/src/main/java/org/boragegap/bench/package-info.java
+++ b/bench/src/main/java/org/boragegap/bench/package-info.java
@@ -1,2 +1,2 @@
-/** Costs of single decisions of the core. */
+/** JMH benchmarks of single decisions of the core. */
 package org.boragegap.bench;
--- a/core/src/main/java/org/boragegap/core/bundle/Bundle.java
+++ b/core/src/main/java/org/boragegap/core/bundle/Bundle.java
@@ -6,23 +6,23 @@
  * A configuration bundle as published.
  *
  * @param version one more than the parent's
- * @param parent id of the publication that it follows; empty for the first
+ * @param parent id of the publication that this one follows; empty for the first
  * @param publication random id of this publication
- * @param body the content, as the exact text that was signed
- * @param signatures who signed it off
+ * @param body the content, exactly as it was signed
+ * @param signatures signatures of {@link #signedText()}
  */
 public record Bundle(
         long version, String parent, String publication, String body, List<Signature> signatures) {
 
     /**
-     * One signature.
+     * A signature of a bundle.
      *
-     * @param signer name of the key
+     * @param signer name of the signing key
      * @param value Ed25519 signature in base64
      */
     public record Signature(String signer, String value) {}
 
-    /** The exact text that signatures cover. */
+    /** The exact text that the signatures cover. */
     public String signedText() {
         return version + "\n" + parent + "\n" + publication + "\n" + body;
     }
--- a/core/src/main/java/org/boragegap/core/bundle/BundleChain.java
+++ b/core/src/main/java/org/boragegap/core/bundle/BundleChain.java
@@ -6,12 +6,13 @@
 import org.boragegap.core.log.ReadWindow;
 
 /**
- * Decides which bundle is in force.
+ * Decides which bundle is active.
  *
- * <p>The first publication in log order that names the bundle in force as its parent, is properly
- * signed and can be applied takes effect; all readers of the log agree on it. What a peer passes on
- * is in force here at once, but only the log decides on publications. Versions only grow: an old
- * bundle that is replayed or arrives late is void.
+ * <p>The first publication in log order that names the active bundle as its parent, is correctly
+ * signed and can be applied becomes active; all readers of the log agree on it. A newer bundle
+ * received from a peer becomes active on this VM at once, but only the log decides whether a
+ * publication is accepted. Versions only increase: an old bundle that is replayed or arrives late
+ * is ignored.
  */
 public final class BundleChain {
     private static final int MAX_KEPT_RESULTS = 256;
@@ -35,7 +36,7 @@
     }
 
     /**
-     * Makes a chain with nothing in force.
+     * Makes a chain without an active bundle.
      *
      * @param retentionMs how long the log keeps a record
      */
@@ -43,12 +44,12 @@
         return new BundleChain(retentionMs);
     }
 
-    /** The bundle in force. */
+    /** The active bundle. */
     public Optional<CheckedBundle> active() {
         return mActive;
     }
 
-    /** Its version, 0 when there is none. */
+    /** The version of the active bundle, 0 when there is none. */
     public long version() {
         return versionOf(mActive);
     }
@@ -57,39 +58,47 @@
         return bundle.map(checked -> checked.bundle().version()).orElse(0L);
     }
 
-    /** Wall-clock time since which it is in force here. */
+    /** Wall-clock time since which the active bundle has been active on this VM. */
     public long activeSinceWallMs() {
         return mActiveSinceWallMs;
     }
 
-    /** True when the bundle in force was read from the log here, and not only told by a peer. */
+    /**
+     * True when this VM has read the active bundle from the log, not only received it from a peer.
+     */
     public boolean activeFromLog() {
         return mLogHead.isPresent() && versionOf(mLogHead) == version();
     }
 
-    /** What the bundle in force configures. */
+    /** The content of the active bundle. */
     public BundleContent content() {
         return mActive.flatMap(CheckedBundle::content).orElse(BundleContent.EMPTY);
     }
 
-    /** What became of a publication that was read here; empty when it was not. */
+    /**
+     * Whether a publication was accepted, or why it was rejected; empty when it has not been read
+     * here, or too many others have been read since.
+     */
     public Optional<String> publicationResult(String publication) {
         return Optional.ofNullable(mPublicationResults.get(publication));
     }
 
-    /** True for a verdict that says that the publication took effect. */
-    public static boolean isAccepted(String verdict) {
-        return verdict.equals(ACCEPTED);
+    /** True for a result that says that the publication was accepted. */
+    public static boolean isAccepted(String result) {
+        return result.equals(ACCEPTED);
     }
 
-    /** Tells from which offset on everything has been read. */
+    /**
+     * Sets the offset from which on this reader has read every record. If records were missed, the
+     * newest accepted publication becomes unknown.
+     */
     public void advanceFirstOffset(long firstOffset, long nowMs) {
         if (mWindow.advanceFirstOffset(firstOffset, nowMs)) {
             mLogHead = Optional.empty();
         }
     }
 
-    /** Takes a record in log order; true when another bundle is in force now. */
+    /** Applies the next record in log order; true when another bundle became active. */
     public boolean apply(BundleRecord record, long wallMs) {
         mWindow.removeBefore(record.appendedMs() - mRetentionMs);
         mWindow.add(record);
@@ -99,7 +108,7 @@
         return applyPublication(record, wallMs);
     }
 
-    /** Takes the bundle that a peer has in force; true when it is newer than the one here. */
+    /** Activates a bundle received from a peer if it is newer; true when it is. */
     public boolean adopt(CheckedBundle checked, long wallMs) {
         if (checked.content().isEmpty() || checked.bundle().version() <= version()) {
             return false;
@@ -127,10 +136,10 @@
 
     private boolean applyPublication(BundleRecord record, long wallMs) {
         CheckedBundle checked = record.bundle();
-        Optional<String> objection = rejectionReason(checked);
-        // The first verdict stands: the same publication sent again is void, and was decided on.
-        mPublicationResults.putIfAbsent(checked.bundle().publication(), objection.orElse(ACCEPTED));
-        if (objection.isPresent()) {
+        Optional<String> rejection = rejectionReason(checked);
+        // A replayed publication is rejected; it must not replace the result of the first one.
+        mPublicationResults.putIfAbsent(checked.bundle().publication(), rejection.orElse(ACCEPTED));
+        if (rejection.isPresent()) {
             return false;
         }
         mLogHead = Optional.of(checked);
@@ -145,14 +154,14 @@
         if (mLogHead.isEmpty()) {
             boolean first = bundle.version() == 1 && bundle.parent().isEmpty();
             boolean follows = first && mWindow.newestWasOnlyRecord();
-            return follows ? Optional.empty() : Optional.of("what is in force is not known here");
+            return follows ? Optional.empty() : Optional.of("the active bundle is not known here");
         }
         if (bundle.version() <= versionOf(mLogHead)) {
-            return Optional.of("version " + versionOf(mLogHead) + " is already in force");
+            return Optional.of("version " + versionOf(mLogHead) + " is already active");
         }
         boolean follows =
                 bundle.parent().equals(mLogHead.get().bundle().publication())
                         && bundle.version() == versionOf(mLogHead) + 1;
-        return follows ? Optional.empty() : Optional.of("its parent is not in force");
+        return follows ? Optional.empty() : Optional.of("its parent is not the active bundle");
     }
 }
--- a/core/src/main/java/org/boragegap/core/bundle/BundleContent.java
+++ b/core/src/main/java/org/boragegap/core/bundle/BundleContent.java
@@ -13,20 +13,20 @@
 public record BundleContent(Map<String, TeamQuota> teams, Map<String, KindRule> kinds) {
     private static final int MAX_TEAMS = 10_000;
 
-    /** Configures nothing. */
+    /** Content without quotas or rules. */
     public static final BundleContent EMPTY = new BundleContent(Map.of(), Map.of());
 
-    /** The team's quota. */
+    /** The team's quota; unlimited when the bundle doesn't name the team. */
     public TeamQuota teamQuota(String team) {
         return teams.getOrDefault(team, TeamQuota.UNLIMITED);
     }
 
-    /** The kind's rule. */
+    /** The rule for a kind of task, or the default rule. */
     public KindRule kindRule(String kind) {
         return kinds.getOrDefault(kind, KindRule.DEFAULT);
     }
 
-    /** Why this content can't be applied, if it can't; the same on every process. */
+    /** Why this content can't be applied, if it can't; every process comes to the same result. */
     public Optional<String> problem() {
         if (teams.size() > MAX_TEAMS) {
             return Optional.of("more than " + MAX_TEAMS + " teams");
--- a/core/src/main/java/org/boragegap/core/bundle/BundleRecord.java
+++ b/core/src/main/java/org/boragegap/core/bundle/BundleRecord.java
@@ -5,20 +5,21 @@
 /**
  * A bundle as read from the log.
  *
- * @param offset its place in the log's order
- * @param appendedMs the log's own time of the append
- * @param kind whether it is published or stated again
- * @param asOf a statement is true of the log up to this offset, which its author had read
- * @param bundle the bundle with the result of the checks
+ * @param offset its offset in the log
+ * @param appendedMs time of the append by the log's clock
+ * @param kind whether the bundle is published or restated
+ * @param asOf for a statement, the offset up to which its author had read the log: the bundle was
+ *     the newest accepted one after the record at this offset
+ * @param bundle the bundle with the result of its checks
  */
 public record BundleRecord(long offset, long appendedMs, Kind kind, long asOf, CheckedBundle bundle)
         implements LogRecord {
 
-    /** How a record takes part in the order. */
+    /** How a record affects the active bundle. */
     public enum Kind {
-        /** Takes effect if its parent is in force when it is read. */
+        /** A publication: becomes active if its parent is active when the record is read. */
         PUBLISHED,
-        /** Repeats the bundle in force, so that it outlives the log's retention. */
+        /** A statement: repeats the active bundle, so that it outlives the log's retention. */
         STATED
     }
 }
--- a/core/src/main/java/org/boragegap/core/bundle/KindRule.java
+++ b/core/src/main/java/org/boragegap/core/bundle/KindRule.java
@@ -1,12 +1,12 @@
 package org.boragegap.core.bundle;
 
 /**
- * What the bundle says of a kind of task.
+ * A bundle's rule for one kind of task.
  *
- * @param urgent whether the kind goes before others of its team
+ * @param urgent whether jobs of this kind are served before other jobs of the same team
  */
 public record KindRule(boolean urgent) {
 
-    /** For kinds that the bundle doesn't name. */
+    /** The rule for kinds that the bundle doesn't name. */
     public static final KindRule DEFAULT = new KindRule(false);
 }
--- a/core/src/main/java/org/boragegap/core/bundle/package-info.java
+++ b/core/src/main/java/org/boragegap/core/bundle/package-info.java
@@ -1,2 +1,2 @@
-/** Versioned configuration bundles and the chain that accepts them. */
+/** Versioned configuration bundles and the rules by which one becomes active. */
 package org.boragegap.core.bundle;
--- a/core/src/main/java/org/boragegap/core/package-info.java
+++ b/core/src/main/java/org/boragegap/core/package-info.java
@@ -1,2 +1,2 @@
-/** The pure core: typed events and a clock value in, typed actions out. */
+/** Decision logic without I/O: typed events and a clock value in, typed actions out. */
 package org.boragegap.core;
--- a/core/src/test/java/org/boragegap/core/bundle/BundleChainProperties.java
+++ b/core/src/test/java/org/boragegap/core/bundle/BundleChainProperties.java
@@ -14,9 +14,10 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Operators race one another, old bundles are replayed, signatures are bad, readers come late or
- * were away past the log's retention, and peers pass on what they have. No reader goes back, no two
- * readers have different bundles of one version in force, and all end with the same one.
+ * Random histories in which operators publish concurrently, old bundles are replayed, signatures
+ * are invalid, readers start late or miss records that the log no longer keeps, and peers exchange
+ * their bundles. The active version of a reader never decreases, no two readers have different
+ * active bundles of one version, and all readers end with the same bundle.
  */
 final class BundleChainProperties {
     private static final long RETENTION_MS = 400;
@@ -45,7 +46,7 @@
         for (int step = 0; step < 150; step++) {
             performRandomStep(readers, random, step * STEP_MS);
         }
-        // The steady state at the end: somebody states it, everybody reads.
+        // Lets the readers converge: some restate the active bundle, all read the log.
         long endMs = 150 * STEP_MS;
         for (int round = 0; round < 3; round++) {
             readers.forEach(reader -> read(reader, endMs));
@@ -78,9 +79,9 @@
                 reader.mChain.active().map(checked -> checked.bundle().publication()).orElse("");
         String publication = "p" + random.nextLong();
         Bundle bundle = new Bundle(reader.mChain.version() + 1, parent, publication, "", List.of());
-        boolean bad = random.nextInt(5) == 0;
+        boolean invalid = random.nextInt(5) == 0;
         CheckedBundle checked =
-                bad
+                invalid
                         ? CheckedBundle.invalid(bundle, "bad signature")
                         : CheckedBundle.valid(bundle, BundleContent.EMPTY);
         append(BundleRecord.Kind.PUBLISHED, -1, checked, nowMs);
@@ -131,26 +132,30 @@
 
     private void checkReader(Reader reader) {
         long version = reader.mChain.version();
-        assertWithMessage("no reader goes back").that(version).isAtLeast(reader.mHighestVersion);
+        assertWithMessage("the version never decreases")
+                .that(version)
+                .isAtLeast(reader.mHighestVersion);
         reader.mHighestVersion = version;
         if (version == 0) {
             return;
         }
         String publication = reader.mChain.active().orElseThrow().bundle().publication();
         String other = mActiveByVersion.putIfAbsent(version, publication);
-        assertWithMessage("one bundle for version %s", version)
+        assertWithMessage("one active bundle of version %s", version)
                 .that(other == null || other.equals(publication))
                 .isTrue();
     }
 
-    /** A bundle that parses but can't be applied must be void on every process alike. */
+    /**
+     * Guards against a bundle that parses but can't be applied becoming active on some processes.
+     */
     @Test
     void invalidBundleIsRejected() {
         BundleChain chain = BundleChain.create(RETENTION_MS);
         chain.advanceFirstOffset(0, 0);
         Bundle bundle = new Bundle(1, "", "p", "", List.of());
-        CheckedBundle bad = CheckedBundle.invalid(bundle, "weight must be more than 0");
-        chain.apply(new BundleRecord(0, 1, BundleRecord.Kind.PUBLISHED, -1, bad), 1);
+        CheckedBundle invalid = CheckedBundle.invalid(bundle, "weight must be more than 0");
+        chain.apply(new BundleRecord(0, 1, BundleRecord.Kind.PUBLISHED, -1, invalid), 1);
         assertThat(chain.version()).isEqualTo(0);
         assertThat(chain.publicationResult("p")).hasValue("weight must be more than 0");
     }
