--- a/core/src/main/java/org/boragegap/core/job/Answer.java
+++ b/core/src/main/java/org/boragegap/core/job/Answer.java
@@ -6,18 +6,18 @@
 public sealed interface Answer {
 
     /**
-     * Every task ran and gave its result.
+     * Every task ran and returned its result.
      *
-     * @param results one result a task, in order of their index
+     * @param results one result per task, ordered by task index
      */
     record Complete(List<String> results) implements Answer {}
 
     /**
-     * There is no complete result and there will be none.
+     * There is no complete result, and there will be none.
      *
-     * @param kind what is known about the work
+     * @param kind what is known about whether the tasks ran
      * @param reason one line for the caller
-     * @param retryAfterMs when to come back, in milliseconds; 0 when there is no point
+     * @param retryAfterMs delay in milliseconds after which to retry; 0 when a retry is of no use
      */
     record Failed(FailureKind kind, String reason, long retryAfterMs) implements Answer {}
 }
--- a/core/src/main/java/org/boragegap/core/job/FailureKind.java
+++ b/core/src/main/java/org/boragegap/core/job/FailureKind.java
@@ -1,18 +1,18 @@
 package org.boragegap.core.job;
 
-/** What a failed answer says about the work. */
+/** What a failed answer says about whether the tasks ran. */
 public enum FailureKind {
     /** No task was started, and none will be. */
     NOT_RUN(true),
-    /** Some or all of the work may have run. */
+    /** Some or all of the tasks may have run. */
     MAY_HAVE_RUN(false),
-    /** The work ran, and failed. */
+    /** A task ran and failed. */
     FAILED(false),
-    /** It can never run as it was asked for. */
+    /** The submission can never run as requested. */
     IMPOSSIBLE(true),
-    /** The id was used with another body; this body was not run. */
+    /** The id was already used with another body; this body was not run. */
     CONFLICT(true),
-    /** The caller cancelled it. */
+    /** The caller cancelled the submission. */
     CANCELLED(false);
 
     private final boolean mNothingRan;
@@ -21,7 +21,7 @@
         mNothingRan = nothingRan;
     }
 
-    /** True when it is certain that nothing of this submission ran. */
+    /** True when it is certain that no task of this submission ran. */
     public boolean nothingRan() {
         return mNothingRan;
     }
--- a/core/src/main/java/org/boragegap/core/job/RefusalCause.java
+++ b/core/src/main/java/org/boragegap/core/job/RefusalCause.java
@@ -1,14 +1,14 @@
 package org.boragegap.core.job;
 
-/** Why nothing of an attempt was run. */
+/** Why an attempt was refused without running any part of the task. */
 public enum RefusalCause {
-    /** The target has no room now. */
+    /** The target has no free capacity now. */
     BUSY(false),
-    /** The target is going away. */
+    /** The target is leaving the deployment. */
     LEAVING(false),
     /** No connection to the target could be opened. */
     UNREACHABLE(true),
-    /** The time by which the task had to start had passed. */
+    /** The time by which the task had to start had already passed. */
     TOO_LATE(false);
 
     private final boolean mTargetAtFault;
@@ -17,7 +17,7 @@
         mTargetAtFault = targetAtFault;
     }
 
-    /** True when the refusal speaks against the target. */
+    /** True when the refusal counts as a failure of the target. */
     public boolean targetAtFault() {
         return mTargetAtFault;
     }
--- a/core/src/main/java/org/boragegap/core/job/Resources.java
+++ b/core/src/main/java/org/boragegap/core/job/Resources.java
@@ -1,7 +1,7 @@
 package org.boragegap.core.job;
 
 /**
- * What a task needs of a worker, or what a worker has.
+ * The resources that a task needs, or those that a worker has.
  *
  * @param cpuMillis thousandths of a core
  * @param memoryMb memory in MiB
@@ -9,10 +9,10 @@
  */
 public record Resources(int cpuMillis, int memoryMb, int accelerators) {
 
-    /** Nothing at all. */
+    /** No resources. */
     public static final Resources NONE = new Resources(0, 0, 0);
 
-    /** Sum of both. */
+    /** The sum of both, in every component. */
     public Resources plus(Resources other) {
         return new Resources(
                 cpuMillis + other.cpuMillis,
@@ -20,7 +20,7 @@
                 accelerators + other.accelerators);
     }
 
-    /** Difference of both. */
+    /** The difference of both, in every component. */
     public Resources minus(Resources other) {
         return new Resources(
                 cpuMillis - other.cpuMillis,
@@ -28,10 +28,10 @@
                 accelerators - other.accelerators);
     }
 
-    /** True when this fits into {@code room} in every respect. */
-    public boolean fitsInto(Resources room) {
-        return cpuMillis <= room.cpuMillis
-                && memoryMb <= room.memoryMb
-                && accelerators <= room.accelerators;
+    /** True when no component exceeds that of {@code available}. */
+    public boolean fitsInto(Resources available) {
+        return cpuMillis <= available.cpuMillis
+                && memoryMb <= available.memoryMb
+                && accelerators <= available.accelerators;
     }
 }
--- a/core/src/main/java/org/boragegap/core/job/SubmissionId.java
+++ b/core/src/main/java/org/boragegap/core/job/SubmissionId.java
@@ -8,11 +8,11 @@
 import org.boragegap.core.claim.ClaimKey;
 
 /**
- * Names a submission, and says when and where it was made.
+ * Identifies a submission, and states when and, if known, where it was created.
  *
- * <p>Forms: a version 7 UUID; {@code domain~uuid}, which names its home failure domain; {@code
- * domain~host:port~uuid}, minted by the entry VM that alone may start it; any other text together
- * with its creation time.
+ * <p>Forms: a version 7 UUID; {@code domain~uuid}, which names the home failure domain; {@code
+ * domain~host:port~uuid}, minted by the entry VM at that address, the only one that may start the
+ * submission; any other text, together with its creation time.
  *
  * @param text the id as given
  * @param createdMs creation time, milliseconds since the Unix epoch
@@ -28,25 +28,25 @@
     private static final int TIME_ORDERED_VERSION = 7;
     private static final int TIMESTAMP_SHIFT = 16;
 
-    /** What became of reading an id. */
+    /** Result of parsing an id. */
     public sealed interface ParseResult {
 
         /**
-         * A usable id.
+         * The text is a valid id.
          *
          * @param id the id
          */
         record Valid(SubmissionId id) implements ParseResult {}
 
         /**
-         * Not an id.
+         * The text is not a valid id.
          *
-         * @param reason one line for the caller
+         * @param reason explanation for the caller in one line
          */
         record Invalid(String reason) implements ParseResult {}
     }
 
-    /** Reads an id; {@code created} is needed when the text carries no time of its own. */
+    /** Parses an id; {@code created} is required when the text contains no creation time. */
     public static ParseResult parse(String text, OptionalLong created) {
         if (!ALLOWED_TEXT.matcher(text).matches()) {
             return new ParseResult.Invalid(
@@ -89,14 +89,14 @@
                         Optional.ofNullable(matcher.group(2))));
     }
 
-    /** An id that only the entry VM at {@code minter} may start. */
+    /** Makes an id whose submission only the entry VM at {@code minter} may start. */
     public static SubmissionId mint(String domain, String minter, UUID uuid) {
         String text = domain + '~' + minter + '~' + uuid;
         long createdMs = uuid.getMostSignificantBits() >>> TIMESTAMP_SHIFT;
         return new SubmissionId(text, createdMs, Optional.of(domain), Optional.of(minter));
     }
 
-    /** Key of the claim on this id. */
+    /** Key under which this id is claimed. */
     public ClaimKey claimKey() {
         return ClaimKey.of(text, createdMs);
     }
--- a/core/src/main/java/org/boragegap/core/job/TaskSpec.java
+++ b/core/src/main/java/org/boragegap/core/job/TaskSpec.java
@@ -4,8 +4,8 @@
  * One task of a submission as the caller declared it.
  *
  * @param index position in the submission, from 0
- * @param need declared need
+ * @param need declared resources
  * @param expectedMs declared run time in milliseconds
- * @param payload handed to the target as it is
+ * @param payload passed to the target unchanged
  */
 public record TaskSpec(int index, Resources need, long expectedMs, String payload) {}
--- a/core/src/main/java/org/boragegap/core/limit/QueueOrder.java
+++ b/core/src/main/java/org/boragegap/core/limit/QueueOrder.java
@@ -1,10 +1,12 @@
 package org.boragegap.core.limit;
 
-/** In which order queued jobs are served. */
+/** The order in which queued jobs are served. */
 public enum QueueOrder {
-    /** First come, first served; the baseline. */
+    /** First come, first served; a baseline for comparison. */
     FIFO(false),
-    /** Fair among teams, and within a team urgent kinds first, then the smallest job. */
+    /**
+     * Weighted fair sharing among teams; within a team urgent kinds first, then the smallest job.
+     */
     FAIR(true);
 
     private final boolean mFair;
@@ -13,7 +15,7 @@
         mFair = fair;
     }
 
-    /** True when teams are served by their share, and jobs by their size. */
+    /** True when teams are served according to their share and jobs according to their size. */
     public boolean fair() {
         return mFair;
     }
--- a/core/src/main/java/org/boragegap/core/limit/RetryAfter.java
+++ b/core/src/main/java/org/boragegap/core/limit/RetryAfter.java
@@ -1,6 +1,6 @@
 package org.boragegap.core.limit;
 
-/** Tells refused callers when to come back, spread out so that they don't all come at once. */
+/** Computes when refused callers should retry, spread out so that they don't all retry at once. */
 public final class RetryAfter {
     private static final long MIN_MS = 200;
     private static final long MAX_MS = 30_000;
@@ -8,9 +8,9 @@
     private RetryAfter() {}
 
     /**
-     * When to come back.
+     * The delay after which to retry.
      *
-     * @param waitMs estimated time until there is room
+     * @param waitMs estimated time until there is free capacity
      * @param spread any number that differs among callers, such as a hash of the id
      */
     public static long delayMs(double waitMs, long spread) {
--- a/core/src/main/java/org/boragegap/core/limit/package-info.java
+++ b/core/src/main/java/org/boragegap/core/limit/package-info.java
@@ -1,2 +1,2 @@
-/** Bounded queues, quotas and refusals. */
+/** Queue orders, team quotas and retry delays. */
 package org.boragegap.core.limit;
--- a/core/src/main/java/org/boragegap/core/log/LogRecord.java
+++ b/core/src/main/java/org/boragegap/core/log/LogRecord.java
@@ -1,11 +1,11 @@
 package org.boragegap.core.log;
 
-/** A record with its place on the log. */
+/** A record as read from the log. */
 public interface LogRecord {
 
-    /** Its place in the log's order. */
+    /** Its offset in the log. */
     long offset();
 
-    /** The log's own time of its append, milliseconds since the Unix epoch. */
+    /** Time of its append by the log's clock, milliseconds since the Unix epoch. */
     long appendedMs();
 }
--- a/core/src/main/java/org/boragegap/core/log/ReadWindow.java
+++ b/core/src/main/java/org/boragegap/core/log/ReadWindow.java
@@ -5,14 +5,15 @@
 import java.util.List;
 
 /**
- * What one reader has read of the log without a gap.
+ * The records that one reader has read from the log without a gap.
  *
- * <p>The log keeps records for a limited time. A reader that starts late, or was away for too long,
- * has missed some and must not conclude from what is left: a record may have lost to one that is no
- * longer there. It may start from a statement, which says what was true after all records up to an
- * offset, if it has every record after that one.
+ * <p>The log keeps records for a limited time. A reader that starts late, or was disconnected for
+ * too long, has missed some and must not draw conclusions from the remaining ones: a record may be
+ * void because of an earlier one that the log no longer holds. The reader may start from a
+ * statement, which gives the state after all records up to an offset, if it has every record after
+ * that offset.
  *
- * @param <T> the kind of record that is kept
+ * @param <T> the type of the records
  */
 public final class ReadWindow<T extends LogRecord> {
     private static final long NOTHING_READ = -1;
@@ -23,17 +24,18 @@
 
     private ReadWindow() {}
 
-    /** A window of a reader that has read nothing yet. */
+    /** Makes the window of a reader that has read nothing yet. */
     public static <T extends LogRecord> ReadWindow<T> create() {
         return new ReadWindow<>();
     }
 
     /**
-     * Tells from which offset on everything has been read; true when there was a gap, and what was
-     * concluded before is void.
+     * Sets the offset from which on every record has been read. Returns true when it has advanced:
+     * records before it were missed, so the window is emptied and what was concluded from earlier
+     * records is void. The first call returns true as well.
      *
      * @param firstOffset first offset of the window
-     * @param nowMs the log's time of the read
+     * @param nowMs time of the read by the log's clock
      */
     public boolean advanceFirstOffset(long firstOffset, long nowMs) {
         if (firstOffset <= mFirstOffset) {
@@ -45,36 +47,37 @@
         return true;
     }
 
-    /** Adds the next record. */
-    public void add(T item) {
-        mRecords.addLast(item);
+    /** Adds the next record in log order. */
+    public void add(T record) {
+        mRecords.addLast(record);
     }
 
-    /** Forgets records that have left the log. */
+    /** Removes records appended before this time, which the log no longer holds. */
     public void removeBefore(long appendedMs) {
         while (!mRecords.isEmpty() && mRecords.peekFirst().appendedMs() < appendedMs) {
             mRecords.pollFirst();
         }
     }
 
-    /** True when no record is kept. */
+    /** True when the window contains no record. */
     public boolean isEmpty() {
         return mRecords.isEmpty();
     }
 
-    /** True when every record after {@code asOf} has been read. */
-    public boolean isCompleteAfter(long asOf) {
-        return asOf >= mFirstOffset - 1;
+    /** True when every record after this offset has been read. */
+    public boolean isCompleteAfter(long offset) {
+        return offset >= mFirstOffset - 1;
     }
 
-    /** The kept records after an offset, in order. */
-    public List<T> recordsAfter(long asOf) {
-        return mRecords.stream().filter(item -> item.offset() > asOf).toList();
+    /** The records after an offset, in log order. */
+    public List<T> recordsAfter(long offset) {
+        return mRecords.stream().filter(record -> record.offset() > offset).toList();
     }
 
     /**
-     * True when the newest record is the only one that was on the log at its time. Only a reader
-     * that was there before can tell: for a later one, another record may have left the log.
+     * True when the newest record was the only one in the log at the time of its append. A reader
+     * whose window begins after that time can't tell, since the log may have removed another record
+     * before the reader started; the result is then false.
      */
     public boolean newestWasOnlyRecord() {
         return mRecords.size() == 1 && mRecords.peekFirst().appendedMs() >= mCompleteSinceMs;
--- a/core/src/main/java/org/boragegap/core/log/package-info.java
+++ b/core/src/main/java/org/boragegap/core/log/package-info.java
@@ -1,2 +1,2 @@
-/** What a reader of the platform's log has read of it without a gap. */
+/** Gap-free reading of the platform's log, which keeps records for a limited time. */
 package org.boragegap.core.log;
--- a/core/src/main/java/org/boragegap/core/membership/ListedVm.java
+++ b/core/src/main/java/org/boragegap/core/membership/ListedVm.java
@@ -4,14 +4,14 @@
 import org.boragegap.core.placement.Target;
 
 /**
- * A VM as the platform's list shows it.
+ * A VM as given in the platform's list.
  *
  * @param address {@code host:port}: the peer address of an entry VM, the HTTP address of a target
  * @param domain its failure domain
- * @param kind what runs there
+ * @param kind what runs on it
  * @param service service of a minion, empty otherwise
- * @param leaving whether it is going away
- * @param capacity what a worker has
+ * @param leaving whether it is leaving the deployment
+ * @param capacity resources of a worker
  * @param slots how many tasks a target runs at once
  */
 public record ListedVm(
--- a/core/src/main/java/org/boragegap/core/membership/VmKind.java
+++ b/core/src/main/java/org/boragegap/core/membership/VmKind.java
@@ -5,7 +5,7 @@
 
 /** What runs on a VM. */
 public enum VmKind {
-    /** A process of this system. */
+    /** An entry VM, which runs a process of this system. */
     ENTRY(null),
     /** A worker. */
     WORKER(Role.WORKER),
@@ -18,7 +18,7 @@
         mRole = role;
     }
 
-    /** The role as a target, for VMs that are targets. */
+    /** The VM's role as a target; empty for an entry VM. */
     public Optional<Role> role() {
         return Optional.ofNullable(mRole);
     }
--- a/core/src/main/java/org/boragegap/core/membership/package-info.java
+++ b/core/src/main/java/org/boragegap/core/membership/package-info.java
@@ -1,2 +1,2 @@
-/** What is believed about VMs, workers and minions. */
+/** The VMs in the platform's list: entry VMs, workers and minions. */
 package org.boragegap.core.membership;
--- a/core/src/main/java/org/boragegap/core/placement/Borrower.java
+++ b/core/src/main/java/org/boragegap/core/placement/Borrower.java
@@ -10,17 +10,18 @@
 import org.boragegap.core.job.Resources;
 
 /**
- * Borrows room on the siblings' targets when this VM's own are full.
+ * Borrows slots on the targets of sibling entry VMs when this VM's own targets are full.
  *
- * <p>An ask stands with the sibling for a while, so it is repeated only when that is over or when
- * it was served whole. Room that nothing waits for is given back, in batches.
+ * <p>A sibling keeps a loan request pending for a while, so a request is repeated only when that
+ * time is over or when all requested slots were granted. Slots that no task waits for are returned,
+ * in batches.
  */
 public final class Borrower {
     private static final long REPEAT_REQUEST_MS = 450;
     private static final long MIN_REQUEST_INTERVAL_MS = 50;
     private static final int MAX_REQUESTED_SLOTS = 512;
 
-    /** Room for one task at a time on a sibling's target. */
+    /** Capacity for one task at a time on a sibling's target. */
     public static final class BorrowedSlot {
         private final String mOwner;
         private final LoanMessage.Line mLine;
@@ -59,12 +60,12 @@
 
     private Borrower() {}
 
-    /** Makes a borrower that has nothing. */
+    /** Makes a borrower that has no slots. */
     public static Borrower create() {
         return new Borrower();
     }
 
-    /** Asks siblings for room for tasks that wait. */
+    /** Requests slots from the siblings for tasks that wait, an equal share from each. */
     public void requestSlots(
             Set<String> siblings,
             String service,
@@ -73,41 +74,41 @@
             long nowMs,
             List<LoanAction> out) {
         for (String sibling : siblings) {
-            SentRequest asking =
+            SentRequest request =
                     mSentRequests.computeIfAbsent(
                             new OwnerAndService(sibling, service), key -> new SentRequest());
-            long sinceMs = nowMs - asking.mSentMs;
-            boolean stands = asking.mOutstanding > 0 && sinceMs < REPEAT_REQUEST_MS;
-            if (stands || sinceMs < MIN_REQUEST_INTERVAL_MS) {
+            long elapsedMs = nowMs - request.mSentMs;
+            boolean pending = request.mOutstanding > 0 && elapsedMs < REPEAT_REQUEST_MS;
+            if (pending || elapsedMs < MIN_REQUEST_INTERVAL_MS) {
                 continue;
             }
-            int share =
+            int slotsPerSibling =
                     Math.min(MAX_REQUESTED_SLOTS, (count + siblings.size() - 1) / siblings.size());
-            asking.mSentMs = nowMs;
-            asking.mOutstanding = share;
-            out.add(new LoanAction(sibling, new LoanMessage.Ask(service, need, share)));
+            request.mSentMs = nowMs;
+            request.mOutstanding = slotsPerSibling;
+            out.add(new LoanAction(sibling, new LoanMessage.Ask(service, need, slotsPerSibling)));
         }
     }
 
-    /** Takes what a sibling gives. */
+    /** Adds the slots that a sibling has granted. */
     public void onGiven(String owner, LoanMessage.Given given, long nowMs) {
-        SentRequest asking = mSentRequests.get(new OwnerAndService(owner, given.service()));
-        if (asking == null) {
+        SentRequest request = mSentRequests.get(new OwnerAndService(owner, given.service()));
+        if (request == null) {
             return;
         }
         List<BorrowedSlot> free =
                 mFreeSlots.computeIfAbsent(given.service(), service -> new ArrayList<>());
         for (LoanMessage.Line line : given.lines()) {
-            asking.mOutstanding -= line.count();
-            // The term began when the sibling gave; it gave no earlier than it was asked.
-            long usableUntilMs = Math.min(nowMs, asking.mSentMs) + line.termMs();
+            request.mOutstanding -= line.count();
+            // The term starts with the sibling's grant, which is no earlier than the request.
+            long usableUntilMs = Math.min(nowMs, request.mSentMs) + line.termMs();
             for (int i = 0; i < line.count(); i++) {
                 free.add(new BorrowedSlot(owner, line, usableUntilMs));
             }
         }
     }
 
-    /** A sibling wants room back: what is free now, and what gets free next. */
+    /** A sibling recalls slots: those that are free now, and then those that become free next. */
     public void onRecall(String owner, LoanMessage.Recall recall) {
         mRecallCounts.put(new OwnerAndService(owner, recall.service()), recall.count());
         for (BorrowedSlot slot : mFreeSlots.getOrDefault(recall.service(), List.of())) {
@@ -124,14 +125,14 @@
         }
     }
 
-    /** Takes a borrowed slot for a task, if one fits. */
+    /** Takes a free borrowed slot that fits the task, if there is one. */
     public Optional<BorrowedSlot> takeSlot(
-            String service, Resources need, Set<String> avoid, long nowMs) {
+            String service, Resources need, Set<String> excluded, long nowMs) {
         List<BorrowedSlot> free = mFreeSlots.getOrDefault(service, List.of());
         for (int i = free.size() - 1; i >= 0; i--) {
             BorrowedSlot slot = free.get(i);
             boolean fits = need.fitsInto(slot.mLine.need()) && slot.usable(nowMs);
-            if (fits && !avoid.contains(slot.target())) {
+            if (fits && !excluded.contains(slot.target())) {
                 free.remove(i);
                 return Optional.of(slot);
             }
@@ -139,41 +140,43 @@
         return Optional.empty();
     }
 
-    /** The task on a slot ended; a slot on a target that failed it is not used again. */
-    public void free(String service, BorrowedSlot slot, boolean blamed) {
-        slot.mTargetAtFault |= blamed;
+    /**
+     * Frees a slot whose task has ended; if the target was at fault, the slot is not used again.
+     */
+    public void releaseSlot(String service, BorrowedSlot slot, boolean targetAtFault) {
+        slot.mTargetAtFault |= targetAtFault;
         applyRecall(service, slot);
         mFreeSlots.computeIfAbsent(service, name -> new ArrayList<>()).add(slot);
     }
 
-    /** Gives back what must not be used any more. */
+    /** Returns slots that must not be used any more. */
     public void returnUnusable(long nowMs, List<LoanAction> out) {
         returnUnneeded(mFreeSlots.keySet(), nowMs, out);
     }
 
-    /** Gives back what nothing waits for, or what must not be used any more. */
-    public void returnUnneeded(Set<String> servicesWithWork, long nowMs, List<LoanAction> out) {
-        Map<LoanKey, int[]> backs = new HashMap<>();
+    /** Returns slots that no task waits for, and those that must not be used any more. */
+    public void returnUnneeded(Set<String> waitingServices, long nowMs, List<LoanAction> out) {
+        Map<LoanKey, int[]> returnCounts = new HashMap<>();
         for (Map.Entry<String, List<BorrowedSlot>> entry : mFreeSlots.entrySet()) {
-            boolean work = servicesWithWork.contains(entry.getKey());
+            boolean needed = waitingServices.contains(entry.getKey());
             for (Iterator<BorrowedSlot> slots = entry.getValue().iterator(); slots.hasNext(); ) {
                 BorrowedSlot slot = slots.next();
-                if (work && slot.usable(nowMs)) {
+                if (needed && slot.usable(nowMs)) {
                     continue;
                 }
                 slots.remove();
                 LoanKey key = new LoanKey(slot.mOwner, slot.mLine.loanId());
-                int[] counts = backs.computeIfAbsent(key, loan -> new int[2]);
+                int[] counts = returnCounts.computeIfAbsent(key, loan -> new int[2]);
                 counts[0]++;
                 counts[1] += slot.mTargetAtFault ? 1 : 0;
             }
         }
-        sendReturns(backs, out);
+        sendReturns(returnCounts, out);
     }
 
-    private static void sendReturns(Map<LoanKey, int[]> backs, List<LoanAction> out) {
+    private static void sendReturns(Map<LoanKey, int[]> returnCounts, List<LoanAction> out) {
         Map<String, List<LoanMessage.Return>> byOwner = new HashMap<>();
-        backs.forEach(
+        returnCounts.forEach(
                 (key, counts) ->
                         byOwner.computeIfAbsent(key.owner(), owner -> new ArrayList<>())
                                 .add(new LoanMessage.Return(key.loanId(), counts[0], counts[1])));
@@ -181,8 +184,8 @@
                 (owner, returns) -> out.add(new LoanAction(owner, new LoanMessage.Back(returns))));
     }
 
-    /** Slots that are borrowed and free now. */
-    public int free() {
+    /** Number of borrowed slots that are free now. */
+    public int freeSlots() {
         return mFreeSlots.values().stream().mapToInt(List::size).sum();
     }
 }
--- a/core/src/main/java/org/boragegap/core/placement/KindStatistics.java
+++ b/core/src/main/java/org/boragegap/core/placement/KindStatistics.java
@@ -6,10 +6,11 @@
 import org.boragegap.core.job.TaskSpec;
 
 /**
- * Learns run times and needs per kind of task, since declared ones are often far off.
+ * Estimates run times and needed resources per kind of task, since declared ones are often far off.
  *
- * <p>Keeps a moving mean and mean deviation of each; an estimate is the mean plus a margin of two
- * deviations. Until enough was seen, the declaration stands.
+ * <p>Keeps an exponential moving mean and mean deviation of each. A run time is estimated as the
+ * mean, needed resources as the mean plus a margin of two deviations. Until there are enough
+ * samples, the declared values are used.
  */
 public final class KindStatistics {
     private static final int MIN_SAMPLES = 8;
@@ -43,35 +44,35 @@
 
     private final Map<String, KindSamples> mKinds = new HashMap<>();
 
-    /** Takes what a finished task took and used. */
+    /** Adds the run time and the used resources of a finished task. */
     public void add(String kind, long tookMs, Resources used) {
-        KindSamples seen = mKinds.computeIfAbsent(kind, name -> new KindSamples());
-        seen.mTookMs.add(tookMs);
-        seen.mCpuMillis.add(used.cpuMillis());
-        seen.mMemoryMb.add(used.memoryMb());
+        KindSamples samples = mKinds.computeIfAbsent(kind, name -> new KindSamples());
+        samples.mTookMs.add(tookMs);
+        samples.mCpuMillis.add(used.cpuMillis());
+        samples.mMemoryMb.add(used.memoryMb());
     }
 
-    /** Expected run time in milliseconds. */
+    /** Estimated run time in milliseconds, at least 1. */
     public double estimatedMs(String kind, TaskSpec task) {
-        KindSamples seen = mKinds.get(kind);
-        return hasEnoughSamples(seen)
-                ? Math.max(1, seen.mTookMs.mMean)
+        KindSamples samples = mKinds.get(kind);
+        return hasEnoughSamples(samples)
+                ? Math.max(1, samples.mTookMs.mMean)
                 : Math.max(1, task.expectedMs());
     }
 
-    /** What to account for; accelerators are taken as declared, they are not shared. */
+    /** Resources to account for a task; accelerators as declared, since they are not shared. */
     public Resources estimatedNeed(String kind, TaskSpec task) {
-        KindSamples seen = mKinds.get(kind);
-        if (!hasEnoughSamples(seen) || seen.mCpuMillis.mMean <= 0) {
+        KindSamples samples = mKinds.get(kind);
+        if (!hasEnoughSamples(samples) || samples.mCpuMillis.mMean <= 0) {
             return task.need();
         }
         return new Resources(
-                (int) Math.ceil(seen.mCpuMillis.upperEstimate()),
-                (int) Math.ceil(seen.mMemoryMb.upperEstimate()),
+                (int) Math.ceil(samples.mCpuMillis.upperEstimate()),
+                (int) Math.ceil(samples.mMemoryMb.upperEstimate()),
                 task.need().accelerators());
     }
 
-    private static boolean hasEnoughSamples(KindSamples seen) {
-        return seen != null && seen.mTookMs.mCount >= MIN_SAMPLES;
+    private static boolean hasEnoughSamples(KindSamples samples) {
+        return samples != null && samples.mTookMs.mCount >= MIN_SAMPLES;
     }
 }
--- a/core/src/main/java/org/boragegap/core/placement/Lender.java
+++ b/core/src/main/java/org/boragegap/core/placement/Lender.java
@@ -11,12 +11,12 @@
 import org.boragegap.core.job.Resources;
 
 /**
- * Lends room on this VM's targets to its siblings.
+ * Lends slots on this VM's targets to sibling entry VMs.
  *
- * <p>An ask stands for a while and is served when there is room, so that a sibling needn't ask
- * again and again. The owner goes on accounting for what it lent, and recalls it when its own work
- * waits. A borrower that dies gives nothing back, so a loan ends by itself when its term and a
- * margin are over.
+ * <p>A loan request stays pending for a while and is served when there is free capacity, so that a
+ * sibling needn't repeat it constantly. The owner continues to account for lent slots, and recalls
+ * them when tasks of its own wait. A borrower that crashes returns nothing, so a loan expires when
+ * its term and a margin are over.
  */
 public final class Lender {
     private static final long REQUEST_VALID_MS = 500;
@@ -24,7 +24,9 @@
     private static final long EXPIRY_MARGIN_MS = 5_000;
     private static final long MIN_RECALL_INTERVAL_MS = 200;
 
-    /** Leaves more numbers for each ms between the starts of two runs than can be lent in it. */
+    /**
+     * Leaves 2^20 loan ids per ms between the starts of two runs, more than can be lent in a ms.
+     */
     private static final int INCARNATION_SHIFT = 20;
 
     private record BorrowerAndService(String borrower, String service) {}
@@ -34,9 +36,9 @@
         private final long mExpiresMs;
         private int mRemaining;
 
-        private PendingRequest(LoanMessage.Ask ask, long untilMs) {
+        private PendingRequest(LoanMessage.Ask ask, long expiresMs) {
             mAsk = ask;
-            mExpiresMs = untilMs;
+            mExpiresMs = expiresMs;
             mRemaining = ask.count();
         }
     }
@@ -48,11 +50,11 @@
         private final long mExpiresMs;
         private int mCount;
 
-        private Loan(String borrower, TargetState target, Resources need, long endsMs) {
+        private Loan(String borrower, TargetState target, Resources need, long expiresMs) {
             mBorrower = borrower;
             mTarget = target;
             mNeed = need;
-            mExpiresMs = endsMs;
+            mExpiresMs = expiresMs;
         }
     }
 
@@ -62,58 +64,58 @@
     private long mNextLoanId;
     private long mLastRecallMs = Long.MIN_VALUE / 2;
 
-    private Lender(TargetPool targets, long firstLoan) {
+    private Lender(TargetPool targets, long firstLoanId) {
         mTargets = targets;
-        mNextLoanId = firstLoan;
+        mNextLoanId = firstLoanId;
     }
 
     /**
-     * Makes a lender of the pool's owned targets.
+     * Makes a lender of slots on the pool's owned targets.
      *
-     * @param incarnation number of this run of the process; loans of two runs have different
-     *     numbers, since what is given back may belong to an earlier one
+     * @param incarnation number of this run of the process; loans of two runs have different ids,
+     *     since a slot that is returned may belong to a loan of an earlier run
      */
     public static Lender create(TargetPool targets, long incarnation) {
         return new Lender(targets, incarnation << INCARNATION_SHIFT);
     }
 
-    /** How much is lent, in tasks at once. */
+    /** Number of slots that are lent now. */
     public int lentSlots() {
         return mLoans.values().stream().mapToInt(loan -> loan.mCount).sum();
     }
 
-    /** Takes an ask, in place of an earlier one by the same sibling. */
+    /** Takes a loan request, which replaces an earlier one of the same sibling and service. */
     public void onAsk(
             String borrower,
             LoanMessage.Ask ask,
-            Set<String> ownWaits,
+            Set<String> waitingServices,
             long nowMs,
             List<LoanAction> out) {
         BorrowerAndService key = new BorrowerAndService(borrower, ask.service());
         mPendingRequests.put(key, new PendingRequest(ask, nowMs + REQUEST_VALID_MS));
-        servePending(ownWaits, nowMs, out);
+        servePending(waitingServices, nowMs, out);
     }
 
-    /** Serves the asks that stand, as far as there is room that no own work waits for. */
-    private void servePending(Set<String> ownWaits, long nowMs, List<LoanAction> out) {
-        Iterator<Map.Entry<BorrowerAndService, PendingRequest>> asks =
+    /** Serves pending requests from free capacity, except for services that own tasks wait for. */
+    private void servePending(Set<String> waitingServices, long nowMs, List<LoanAction> out) {
+        Iterator<Map.Entry<BorrowerAndService, PendingRequest>> requests =
                 mPendingRequests.entrySet().iterator();
-        while (asks.hasNext()) {
-            Map.Entry<BorrowerAndService, PendingRequest> entry = asks.next();
-            PendingRequest standing = entry.getValue();
-            if (nowMs < standing.mExpiresMs && !ownWaits.contains(entry.getKey().service())) {
-                grant(entry.getKey().borrower(), standing, nowMs, out);
+        while (requests.hasNext()) {
+            Map.Entry<BorrowerAndService, PendingRequest> entry = requests.next();
+            PendingRequest request = entry.getValue();
+            if (nowMs < request.mExpiresMs && !waitingServices.contains(entry.getKey().service())) {
+                grant(entry.getKey().borrower(), request, nowMs, out);
             }
-            if (nowMs >= standing.mExpiresMs || standing.mRemaining == 0) {
-                asks.remove();
+            if (nowMs >= request.mExpiresMs || request.mRemaining == 0) {
+                requests.remove();
             }
         }
     }
 
-    private void grant(String borrower, PendingRequest standing, long nowMs, List<LoanAction> out) {
-        LoanMessage.Ask ask = standing.mAsk;
+    private void grant(String borrower, PendingRequest request, long nowMs, List<LoanAction> out) {
+        LoanMessage.Ask ask = request.mAsk;
         Map<TargetState, Loan> loans = new LinkedHashMap<>();
-        while (standing.mRemaining > 0) {
+        while (request.mRemaining > 0) {
             Optional<TargetState> target =
                     mTargets.choose(ask.service(), ask.need(), Set.of(), nowMs);
             if (target.isEmpty()) {
@@ -122,7 +124,7 @@
             mTargets.onStarted(target.get(), ask.need());
             loans.computeIfAbsent(target.get(), state -> newLoan(borrower, state, ask, nowMs))
                     .mCount++;
-            standing.mRemaining--;
+            request.mRemaining--;
         }
         if (!loans.isEmpty()) {
             out.add(new LoanAction(borrower, registerLoans(ask, loans)));
@@ -145,53 +147,55 @@
         return new LoanMessage.Given(ask.service(), lines);
     }
 
-    /** Takes room back; what comes for a loan that has ended, or of another VM, is ignored. */
+    /**
+     * Takes slots back; ignores returns for loans that have ended or belong to another borrower.
+     */
     public void onBack(String borrower, LoanMessage.Back back, long nowMs) {
-        back.returns().forEach(each -> onReturn(borrower, each, nowMs));
+        back.returns().forEach(returned -> onReturn(borrower, returned, nowMs));
     }
 
-    private void onReturn(String borrower, LoanMessage.Return back, long nowMs) {
-        Loan loan = mLoans.get(back.loanId());
+    private void onReturn(String borrower, LoanMessage.Return returned, long nowMs) {
+        Loan loan = mLoans.get(returned.loanId());
         if (loan == null || !loan.mBorrower.equals(borrower)) {
             return;
         }
-        int count = Math.min(back.count(), loan.mCount);
+        int count = Math.min(returned.count(), loan.mCount);
         for (int i = 0; i < count; i++) {
-            mTargets.onLoanEnded(loan.mTarget, loan.mNeed, i < back.blamed(), nowMs);
+            mTargets.onLoanEnded(loan.mTarget, loan.mNeed, i < returned.blamed(), nowMs);
         }
         loan.mCount -= count;
         if (loan.mCount == 0) {
-            mLoans.remove(back.loanId());
+            mLoans.remove(returned.loanId());
         }
     }
 
-    /** Wants as much room back as own work waits for. */
+    /** Recalls as many slots as own tasks wait for. */
     public void recall(Map<String, Integer> ownWaiting, long nowMs, List<LoanAction> out) {
         if (nowMs - mLastRecallMs < MIN_RECALL_INTERVAL_MS) {
             return;
         }
-        Map<BorrowerAndService, Integer> lent = new LinkedHashMap<>();
+        Map<BorrowerAndService, Integer> lentCounts = new LinkedHashMap<>();
         for (Loan loan : mLoans.values()) {
             BorrowerAndService key =
                     new BorrowerAndService(loan.mBorrower, loan.mTarget.target().service());
-            lent.merge(key, loan.mCount, Integer::sum);
+            lentCounts.merge(key, loan.mCount, Integer::sum);
         }
         Map<String, Integer> wanted = new HashMap<>(ownWaiting);
-        lent.forEach(
+        lentCounts.forEach(
                 (key, count) -> {
-                    int back = Math.min(count, wanted.getOrDefault(key.service(), 0));
-                    if (back > 0) {
-                        wanted.merge(key.service(), -back, Integer::sum);
+                    int recalled = Math.min(count, wanted.getOrDefault(key.service(), 0));
+                    if (recalled > 0) {
+                        wanted.merge(key.service(), -recalled, Integer::sum);
                         mLastRecallMs = nowMs;
-                        LoanMessage recall = new LoanMessage.Recall(key.service(), back);
+                        LoanMessage recall = new LoanMessage.Recall(key.service(), recalled);
                         out.add(new LoanAction(key.borrower(), recall));
                     }
                 });
     }
 
-    /** Serves asks; ends loans that are over, and those of borrowers that are siblings no more. */
+    /** Ends loans that have expired or whose borrower is no longer a sibling; serves requests. */
     public void onTick(
-            Set<String> siblings, Set<String> ownWaits, long nowMs, List<LoanAction> out) {
+            Set<String> siblings, Set<String> waitingServices, long nowMs, List<LoanAction> out) {
         Iterator<Loan> loans = mLoans.values().iterator();
         while (loans.hasNext()) {
             Loan loan = loans.next();
@@ -203,6 +207,6 @@
             }
         }
         mPendingRequests.keySet().removeIf(key -> !siblings.contains(key.borrower()));
-        servePending(ownWaits, nowMs, out);
+        servePending(waitingServices, nowMs, out);
     }
 }
--- a/core/src/main/java/org/boragegap/core/placement/LoanAction.java
+++ b/core/src/main/java/org/boragegap/core/placement/LoanAction.java
@@ -1,9 +1,9 @@
 package org.boragegap.core.placement;
 
 /**
- * A message about loans that is to be sent.
+ * A loan message to be sent.
  *
- * @param address peer address
+ * @param address peer address of the receiver
  * @param message the message
  */
 public record LoanAction(String address, LoanMessage message) {}
--- a/core/src/main/java/org/boragegap/core/placement/LoanMessage.java
+++ b/core/src/main/java/org/boragegap/core/placement/LoanMessage.java
@@ -3,58 +3,58 @@
 import java.util.List;
 import org.boragegap.core.job.Resources;
 
-/** What entry VMs of one failure domain say to each other about room on targets. */
+/** Messages by which the entry VMs of a failure domain lend each other slots on their targets. */
 public sealed interface LoanMessage {
 
     /**
-     * Asks the owner of targets for room.
+     * Requests slots from the owner of targets.
      *
      * @param service service of the targets
-     * @param need what one task needs
-     * @param count for how many tasks at once
+     * @param need resources that one task needs
+     * @param count number of slots
      */
     record Ask(String service, Resources need, int count) implements LoanMessage {}
 
     /**
-     * Gives room.
+     * Grants slots.
      *
-     * @param service service that was asked for
-     * @param lines what is given
+     * @param service service of the request
+     * @param lines the loans granted, one per target
      */
     record Given(String service, List<Line> lines) implements LoanMessage {}
 
     /**
-     * Room on one target.
+     * A loan of slots on one target.
      *
-     * @param loanId names the loan within the owner
+     * @param loanId id of the loan, unique within its owner
      * @param target address of the target
-     * @param need room for one task
-     * @param count for how many tasks at once
-     * @param termMs how long after the ask new tasks may be started there
+     * @param need resources lent per slot
+     * @param count number of slots
+     * @param termMs how long after the request new tasks may be started there, in milliseconds
      */
     record Line(long loanId, String target, Resources need, int count, long termMs) {}
 
     /**
-     * Wants room back as soon as the tasks on it have ended.
+     * Recalls slots, each as soon as the task on it has ended.
      *
      * @param service service of the targets
-     * @param count for how many tasks
+     * @param count number of slots
      */
     record Recall(String service, int count) implements LoanMessage {}
 
     /**
-     * Gives room back.
+     * Returns slots.
      *
-     * @param returns what is given back of each loan
+     * @param returns the returned slots by loan
      */
     record Back(List<Return> returns) implements LoanMessage {}
 
     /**
-     * Room of one loan that is given back.
+     * Returned slots of one loan.
      *
-     * @param loanId the loan
-     * @param count for how many tasks
-     * @param blamed how many of them the target failed
+     * @param loanId id of the loan
+     * @param count number of slots
+     * @param blamed number of these slots whose target was at fault
      */
     record Return(long loanId, int count, int blamed) {}
 }
--- a/core/src/main/java/org/boragegap/core/placement/Ownership.java
+++ b/core/src/main/java/org/boragegap/core/placement/Ownership.java
@@ -5,7 +5,10 @@
 import java.util.Optional;
 import org.apache.commons.codec.digest.MurmurHash3;
 
-/** Divides names among VMs by rendezvous hashing, so that few move when a VM comes or goes. */
+/**
+ * Assigns names to VMs by rendezvous hashing, so that few names change their owner when a VM joins
+ * or leaves.
+ */
 public final class Ownership {
     private Ownership() {}
 
--- a/core/src/main/java/org/boragegap/core/placement/PlacementPolicy.java
+++ b/core/src/main/java/org/boragegap/core/placement/PlacementPolicy.java
@@ -3,16 +3,16 @@
 import java.util.List;
 import java.util.random.RandomGenerator;
 
-/** Which of the targets that would take a task gets it. */
+/** How a target is chosen for a task among those that accept it. */
 public enum PlacementPolicy {
-    /** One after the other; the baseline. */
+    /** One after the other; a baseline for comparison. */
     ROUND_ROBIN {
         @Override
         TargetState choose(List<TargetState> candidates, long turn, RandomGenerator random) {
             return candidates.get((int) (turn % candidates.size()));
         }
     },
-    /** The least loaded one as far as this VM knows. */
+    /** The target with the least load that this VM knows of. */
     LEAST_LOADED {
         @Override
         TargetState choose(List<TargetState> candidates, long turn, RandomGenerator random) {
@@ -25,7 +25,7 @@
             return best;
         }
     },
-    /** The less loaded of two drawn at random, so that VMs don't rush to the same target. */
+    /** The less loaded of two chosen at random, so that VMs don't all choose the same target. */
     POWER_OF_TWO {
         @Override
         TargetState choose(List<TargetState> candidates, long turn, RandomGenerator random) {
@@ -40,7 +40,7 @@
         }
     };
 
-    /** True when a few candidates drawn at random are enough to choose from. */
+    /** True when it is enough to choose from a few candidates sampled at random. */
     boolean usesSampling() {
         return false;
     }
--- a/core/src/main/java/org/boragegap/core/placement/Placer.java
+++ b/core/src/main/java/org/boragegap/core/placement/Placer.java
@@ -8,15 +8,15 @@
 import org.boragegap.core.job.Outcome;
 import org.boragegap.core.job.Resources;
 
-/** Finds room for a task: on this VM's own targets first, then on what siblings lend. */
+/** Allocates capacity for tasks: on this VM's own targets first, then on slots lent by siblings. */
 public final class Placer {
 
     /**
-     * Room for one task.
+     * Capacity allocated to one task.
      *
-     * @param target where
+     * @param target the target
      * @param service service of the target
-     * @param need what is accounted for
+     * @param need resources accounted for
      * @param slot the borrowed slot; empty when the target is this VM's own
      */
     public record Allocation(
@@ -49,20 +49,20 @@
         return mTargets;
     }
 
-    /** To be called before a round of placements. */
+    /** Starts a round of placements; forgets which services lacked capacity in the last one. */
     public void beginRound() {
         mUnplacedNeeds.clear();
     }
 
-    /** Takes room for a task, if there is any. */
+    /** Allocates capacity for a task, if there is any. */
     public Optional<Allocation> place(
-            String service, Resources need, Set<String> avoid, long nowMs) {
-        Optional<TargetState> own = mTargets.choose(service, need, avoid, nowMs);
+            String service, Resources need, Set<String> excluded, long nowMs) {
+        Optional<TargetState> own = mTargets.choose(service, need, excluded, nowMs);
         if (own.isPresent()) {
             mTargets.onStarted(own.get(), need);
             return own.map(target -> new Allocation(target, service, need, Optional.empty()));
         }
-        Optional<Allocation> borrowed = placeOnBorrowed(service, need, avoid, nowMs);
+        Optional<Allocation> borrowed = placeOnBorrowed(service, need, excluded, nowMs);
         if (borrowed.isEmpty()) {
             mUnplacedNeeds.putIfAbsent(service, need);
         }
@@ -70,31 +70,34 @@
     }
 
     private Optional<Allocation> placeOnBorrowed(
-            String service, Resources need, Set<String> avoid, long nowMs) {
-        Optional<Borrower.BorrowedSlot> slot = mBorrower.takeSlot(service, need, avoid, nowMs);
+            String service, Resources need, Set<String> excluded, long nowMs) {
+        Optional<Borrower.BorrowedSlot> slot = mBorrower.takeSlot(service, need, excluded, nowMs);
         if (slot.isEmpty()) {
             return Optional.empty();
         }
         Optional<TargetState> target = mTargets.find(slot.get().target());
         if (target.isEmpty() || target.get().leaving()) {
-            mBorrower.free(service, slot.get(), true);
+            mBorrower.releaseSlot(service, slot.get(), true);
             return Optional.empty();
         }
         return Optional.of(new Allocation(target.get(), service, need, slot));
     }
 
-    /** Takes the end of an attempt. */
-    public void onEnded(Allocation place, Outcome outcome, long nowMs) {
-        mTargets.markIfLeaving(place.target(), outcome);
-        if (place.slot().isPresent()) {
-            boolean blamed = TargetPool.targetAtFault(outcome);
-            mBorrower.free(place.service(), place.slot().get(), blamed);
+    /** Releases the capacity of an attempt that has ended. */
+    public void onEnded(Allocation allocation, Outcome outcome, long nowMs) {
+        mTargets.markIfLeaving(allocation.target(), outcome);
+        if (allocation.slot().isPresent()) {
+            boolean targetAtFault = TargetPool.targetAtFault(outcome);
+            mBorrower.releaseSlot(allocation.service(), allocation.slot().get(), targetAtFault);
         } else {
-            mTargets.onEnded(place.target(), place.need(), outcome, nowMs);
+            mTargets.onEnded(allocation.target(), allocation.need(), outcome, nowMs);
         }
     }
 
-    /** To be called after a round: asks for what is missing, of siblings and of borrowers. */
+    /**
+     * Ends a round of placements. For services that lacked capacity, requests slots from siblings
+     * and recalls lent ones; also returns borrowed slots that must not be used any more.
+     */
     public void endRound(
             Set<String> siblings, Map<String, Integer> queued, long nowMs, List<LoanAction> out) {
         for (Map.Entry<String, Resources> entry : mUnplacedNeeds.entrySet()) {
@@ -110,7 +113,7 @@
         mLender.recall(waiting, nowMs, out);
     }
 
-    /** Takes a sibling's message. */
+    /** Handles a sibling's message. */
     public void onMessage(String from, LoanMessage message, long nowMs, List<LoanAction> out) {
         if (message instanceof LoanMessage.Ask ask) {
             mLender.onAsk(from, ask, mUnplacedNeeds.keySet(), nowMs, out);
@@ -123,19 +126,19 @@
         }
     }
 
-    /** Gives back what is not needed, serves asks that stand, and ends loans that are over. */
+    /** Returns unneeded slots, ends expired loans, and serves pending loan requests. */
     public void onTick(Set<String> siblings, long nowMs, List<LoanAction> out) {
         mBorrower.returnUnneeded(mUnplacedNeeds.keySet(), nowMs, out);
         mLender.onTick(siblings, mUnplacedNeeds.keySet(), nowMs, out);
     }
 
-    /** Tasks at once that are lent to siblings now. */
+    /** Number of slots that are lent to siblings now. */
     public int lentSlots() {
         return mLender.lentSlots();
     }
 
-    /** Borrowed slots that are free now. */
+    /** Number of borrowed slots that are free now. */
     public int freeBorrowedSlots() {
-        return mBorrower.free();
+        return mBorrower.freeSlots();
     }
 }
--- a/core/src/main/java/org/boragegap/core/placement/TargetPool.java
+++ b/core/src/main/java/org/boragegap/core/placement/TargetPool.java
@@ -14,10 +14,10 @@
 import org.boragegap.core.job.Resources;
 
 /**
- * The targets of this failure domain and the choice among them.
+ * The targets of this failure domain, from which one is chosen for each task.
  *
- * <p>Each target belongs to one entry VM at a time, so that one VM alone accounts for its room and
- * no message a task is needed to agree on it.
+ * <p>Each target is owned by one entry VM at a time. Only the owner accounts for the target's
+ * capacity, so the VMs need no message per task to agree on it.
  */
 public final class TargetPool {
     private static final int MAX_SAMPLES = 8;
@@ -43,16 +43,16 @@
         return new TargetPool(policy, random);
     }
 
-    /** Limits placement to the targets that this VM owns; to be called when that changes. */
-    public void setOwned(Predicate<Target> owned) {
-        mIsOwned = owned;
+    /** Limits the choice to the targets that this VM owns; to be called when ownership changes. */
+    public void setOwned(Predicate<Target> isOwned) {
+        mIsOwned = isOwned;
         rebuildIndexes();
     }
 
     /**
-     * Takes the platform's list, which lags.
+     * Updates the targets from the platform's list, which may be out of date.
      *
-     * <p>A target that is no longer listed gets nothing new; it stays known while attempts run.
+     * <p>A target that is no longer listed gets no new tasks; it is kept while attempts run there.
      */
     public void onListed(List<Target> listed, Set<String> leaving) {
         Map<String, TargetState> before = new HashMap<>(mTargets);
@@ -84,12 +84,12 @@
         }
     }
 
-    /** The target for a task, if one has room for it. */
+    /** Chooses a target that has capacity for the task, if there is one, without allocating it. */
     public Optional<TargetState> choose(
-            String service, Resources need, Set<String> avoid, long nowMs) {
+            String service, Resources need, Set<String> excluded, long nowMs) {
         List<TargetState> owned = mOwnedByService.getOrDefault(service, List.of());
         Predicate<TargetState> accepts =
-                state -> state.accepts(need, nowMs) && !avoid.contains(state.target().address());
+                state -> state.accepts(need, nowMs) && !excluded.contains(state.target().address());
         if (mPolicy.usesSampling() && owned.size() > MAX_SAMPLES) {
             Optional<TargetState> sampled = sample(owned, accepts);
             if (sampled.isPresent()) {
@@ -103,7 +103,7 @@
         return Optional.of(mPolicy.choose(candidates, mTurn++, mRandom));
     }
 
-    /** Looks at a few targets only, so that a placement costs the same however many there are. */
+    /** Tries a few targets only, so that the cost doesn't depend on the number of targets. */
     private Optional<TargetState> sample(List<TargetState> owned, Predicate<TargetState> accepts) {
         List<TargetState> candidates = new ArrayList<>(2);
         for (int i = 0; i < MAX_SAMPLES && candidates.size() < 2; i++) {
@@ -117,17 +117,17 @@
                 : Optional.of(mPolicy.choose(candidates, mTurn++, mRandom));
     }
 
-    /** Accounts for an attempt. */
+    /** Allocates capacity for an attempt or a lent slot. */
     public void onStarted(TargetState state, Resources need) {
         state.onStarted(need);
     }
 
-    /** Takes the end of an attempt. */
+    /** Releases the capacity of an attempt and updates the target's health by the outcome. */
     public void onEnded(TargetState state, Resources need, Outcome outcome, long nowMs) {
         state.onEnded(need, targetAtFault(outcome), nowMs);
     }
 
-    /** A target that refuses since it is going away gets nothing more. */
+    /** Gives a target no more tasks once it has refused one because it is leaving. */
     void markIfLeaving(TargetState state, Outcome outcome) {
         boolean leaving =
                 outcome instanceof Outcome.NotRun refused
@@ -137,21 +137,21 @@
         }
     }
 
-    /** Ends a loan of room for one task. */
-    void onLoanEnded(TargetState state, Resources need, boolean blamed, long nowMs) {
-        if (blamed) {
+    /** Releases the capacity of a lent slot. */
+    void onLoanEnded(TargetState state, Resources need, boolean targetAtFault, long nowMs) {
+        if (targetAtFault) {
             state.onEnded(need, true, nowMs);
         } else {
             state.onReleased(need);
         }
     }
 
-    /** A target by its address. */
+    /** The target at an address. */
     public Optional<TargetState> find(String address) {
         return Optional.ofNullable(mTargets.get(address));
     }
 
-    /** True when the outcome speaks against the target. */
+    /** True when the outcome counts as a failure of the target. */
     public static boolean targetAtFault(Outcome outcome) {
         if (outcome instanceof Outcome.NotRun refused) {
             return refused.cause().targetAtFault();
@@ -159,7 +159,7 @@
         return !(outcome instanceof Outcome.Succeeded);
     }
 
-    /** True when some target of the service, busy or not, could ever take the need. */
+    /** True when some target of the service could run such a task if it were idle. */
     public boolean canEverFit(String service, Resources need) {
         for (TargetState state : mByService.getOrDefault(service, List.of())) {
             boolean worker = state.target().role() == Role.WORKER;
@@ -175,7 +175,10 @@
         return mByService.containsKey(service);
     }
 
-    /** How many tasks the targets of a service run at once, owned or not; a moment old. */
+    /**
+     * How many tasks the usable targets of a service, owned or not, can run at once. The count may
+     * be slightly out of date, since it is cached for a short time.
+     */
     public int totalSlots(String service, long nowMs) {
         if (nowMs - mSlotsCountedMs >= SLOT_COUNT_MAX_AGE_MS) {
             mSlotsByService.clear();
@@ -194,7 +197,7 @@
         return slots;
     }
 
-    /** All targets with what is believed of them. */
+    /** The states of all targets. */
     public List<TargetState> all() {
         return List.copyOf(mTargets.values());
     }
--- a/core/src/main/java/org/boragegap/core/placement/TargetState.java
+++ b/core/src/main/java/org/boragegap/core/placement/TargetState.java
@@ -3,11 +3,11 @@
 import org.boragegap.core.job.Resources;
 
 /**
- * What this entry VM believes of one target.
+ * This entry VM's view of one target.
  *
- * <p>A target that fails everything at once looks idle and would draw all work, so it is judged by
- * outcome: after a few failures in a row it gets nothing until a growing pause is over, then one
- * probe.
+ * <p>A target that fails every task immediately looks idle and would attract all tasks. Therefore a
+ * target is quarantined after a few consecutive failures: it gets no task until a pause is over,
+ * and then a single one as a probe. The pause doubles with each further failure, up to a limit.
  */
 public final class TargetState {
     private static final int QUARANTINE_THRESHOLD = 3;
@@ -34,36 +34,37 @@
         return mTarget;
     }
 
-    /** How many tasks this entry VM has running there. */
+    /** Number of slots in use, by this entry VM's own tasks or lent to siblings. */
     public int running() {
         return mRunning;
     }
 
-    /** True when the platform or the target itself said that it is going away. */
+    /** True when the platform's list or the target itself has said that it is leaving. */
     public boolean leaving() {
         return mListedLeaving || mReportedLeaving;
     }
 
-    /** True while the target gets nothing, or only a probe, because of what it did. */
+    /** True while the target gets no tasks, or only a probe, because of its failures. */
     public boolean quarantined() {
         return mConsecutiveFailures >= QUARANTINE_THRESHOLD;
     }
 
-    /** The target said so itself, which goes before a list that lags. */
+    /** The target itself has said that it is leaving; this overrides a list that is out of date. */
     void onReportedLeaving() {
         mReportedLeaving = true;
     }
 
     /**
-     * Takes what the list says; one that lacks the target says that it is leaving. A target that is
-     * back after that, or its successor, has said nothing yet.
+     * Updates the state from the platform's list; a list without the target counts as leaving. If
+     * the target is listed normally after that, it is back or has a successor at its address, and
+     * the earlier report of the target itself no longer applies.
      */
     void onListed(boolean leaving) {
         mReportedLeaving &= leaving || !mListedLeaving;
         mListedLeaving = leaving;
     }
 
-    /** Share of the target in use, as accounted for here. */
+    /** The part of the target's capacity that this entry VM accounts as in use. */
     double load() {
         if (mTarget.role() == Role.MINION) {
             return (double) mRunning / Math.max(1, mTarget.slots());
@@ -87,17 +88,17 @@
         mProbing = quarantined();
     }
 
-    /** Room is free again, and nothing is learned about the target. */
+    /** Releases capacity without an outcome by which to judge the target. */
     void onReleased(Resources need) {
         mRunning--;
         mUsed = mUsed.minus(need);
     }
 
-    void onEnded(Resources need, boolean blame, long nowMs) {
+    void onEnded(Resources need, boolean targetAtFault, long nowMs) {
         mRunning--;
         mUsed = mUsed.minus(need);
         mProbing = false;
-        if (blame) {
+        if (targetAtFault) {
             mConsecutiveFailures++;
             quarantine(nowMs);
         } else {
--- a/core/src/main/java/org/boragegap/core/placement/package-info.java
+++ b/core/src/main/java/org/boragegap/core/placement/package-info.java
@@ -1,2 +1,2 @@
-/** Which target a task goes to. */
+/** The choice of a target for each task, and lending of target slots among entry VMs. */
 package org.boragegap.core.placement;
--- a/core/src/main/java/org/boragegap/core/retry/RetryBudget.java
+++ b/core/src/main/java/org/boragegap/core/retry/RetryBudget.java
@@ -1,37 +1,39 @@
 package org.boragegap.core.retry;
 
 /**
- * Bounds retries to a share of first tries, so that a cut or a mass restart makes no storm.
+ * Limits retries to a share of first attempts, so that a network partition or a mass restart causes
+ * no retry storm.
  *
- * <p>Each first try earns a part of a retry; each retry spends a whole one; savings are capped.
+ * <p>A token bucket: each first attempt adds a fraction of a token, each retry takes a whole one,
+ * and the number of tokens is limited.
  */
 public final class RetryBudget {
     private final double mTokensPerFirstAttempt;
     private final double mMaxTokens;
     private double mTokens;
 
-    private RetryBudget(double share, double cap) {
-        mTokensPerFirstAttempt = share;
-        mMaxTokens = cap;
-        mTokens = cap;
+    private RetryBudget(double tokensPerFirstAttempt, double maxTokens) {
+        mTokensPerFirstAttempt = tokensPerFirstAttempt;
+        mMaxTokens = maxTokens;
+        mTokens = maxTokens;
     }
 
     /**
      * Makes a full budget.
      *
-     * @param share retries earned by one first try
-     * @param cap most retries that can be saved up
+     * @param tokensPerFirstAttempt tokens added by one first attempt
+     * @param maxTokens most tokens that the budget can hold
      */
-    public static RetryBudget create(double share, double cap) {
-        return new RetryBudget(share, cap);
+    public static RetryBudget create(double tokensPerFirstAttempt, double maxTokens) {
+        return new RetryBudget(tokensPerFirstAttempt, maxTokens);
     }
 
-    /** Counts a first try. */
+    /** Adds the tokens of a first attempt. */
     public void onFirstAttempt() {
         mTokens = Math.min(mMaxTokens, mTokens + mTokensPerFirstAttempt);
     }
 
-    /** Spends a retry if there is one. */
+    /** Takes a token for a retry; false when there is none. */
     public boolean trySpend() {
         if (mTokens < 1) {
             return false;
--- a/core/src/main/java/org/boragegap/core/retry/package-info.java
+++ b/core/src/main/java/org/boragegap/core/retry/package-info.java
@@ -1,2 +1,2 @@
-/** When a request may be sent again. */
+/** Limits on sending requests again. */
 package org.boragegap.core.retry;
--- a/core/src/test/java/org/boragegap/core/ArchitectureTest.java
+++ b/core/src/test/java/org/boragegap/core/ArchitectureTest.java
@@ -8,7 +8,7 @@
 import com.tngtech.archunit.core.importer.ImportOption;
 import org.junit.jupiter.api.Test;
 
-/** The core decides and does nothing else; its packages build on each other without cycles. */
+/** The core has no I/O, threads, clocks or randomness of its own, and its packages no cycles. */
 final class ArchitectureTest {
     private static final JavaClasses CORE =
             new ClassFileImporter()
@@ -48,12 +48,12 @@
                 .check(CORE.that(new NotSubmissionId()));
     }
 
-    /** Ids are read as UUIDs; none is made in the core. */
+    /** Excepts SubmissionId, which parses UUIDs but doesn't generate any. */
     private static final class NotSubmissionId
             extends com.tngtech.archunit.base.DescribedPredicate<
                     com.tngtech.archunit.core.domain.JavaClass> {
         private NotSubmissionId() {
-            super("classes that are not ids");
+            super("classes other than SubmissionId");
         }
 
         @Override
--- a/core/src/test/java/org/boragegap/core/placement/LoanIdentityTest.java
+++ b/core/src/test/java/org/boragegap/core/placement/LoanIdentityTest.java
@@ -9,7 +9,7 @@
 import org.boragegap.core.job.Resources;
 import org.junit.jupiter.api.Test;
 
-/** Room that is lent must not be taken for other room that has the same number. */
+/** A loan must not be mistaken for another loan, of another borrower or of an earlier run. */
 final class LoanIdentityTest {
     private static final String SERVICE = "service";
     private static final String BORROWER = "vm1";
@@ -32,33 +32,33 @@
         return ((LoanMessage.Given) out.get(0).message()).lines().get(0).loanId();
     }
 
-    private static LoanMessage.Back returnOf(long loan) {
-        return new LoanMessage.Back(List.of(new LoanMessage.Return(loan, 1, 0)));
+    private static LoanMessage.Back returnOf(long loanId) {
+        return new LoanMessage.Back(List.of(new LoanMessage.Return(loanId, 1, 0)));
     }
 
-    /** Guards against room that one VM works in being freed by another VM's word. */
+    /** Guards against one VM freeing a slot on which a task of another VM runs. */
     @Test
     void onlyTheBorrowerCanReturnALoan() {
-        long loan = firstLoanId(mOwner);
-        mOwner.onMessage(OTHER_BORROWER, returnOf(loan), 10, new ArrayList<>());
+        long loanId = firstLoanId(mOwner);
+        mOwner.onMessage(OTHER_BORROWER, returnOf(loanId), 10, new ArrayList<>());
         assertThat(mOwner.lentSlots()).isEqualTo(1);
-        mOwner.onMessage(BORROWER, returnOf(loan), 20, new ArrayList<>());
+        mOwner.onMessage(BORROWER, returnOf(loanId), 20, new ArrayList<>());
         assertThat(mOwner.lentSlots()).isEqualTo(0);
     }
 
-    /** Guards against a loan of an earlier life of its owner ending one of this life. */
+    /** Guards against a loan granted before the owner's restart ending one granted after it. */
     @Test
     void loanIdsDifferBetweenIncarnations() {
         assertThat(firstLoanId(mOwner)).isNotEqualTo(firstLoanId(owner(INCARNATION + 1)));
     }
 
-    /** Guards against room of this life being freed by what is given back of the life before. */
+    /** Guards against the return of a loan from before a restart freeing a slot lent after it. */
     @Test
     void returnOfAnEarlierIncarnationsLoanIsIgnored() {
         long earlier = firstLoanId(mOwner);
-        Placer next = owner(INCARNATION + 1);
-        firstLoanId(next);
-        next.onMessage(BORROWER, returnOf(earlier), 10, new ArrayList<>());
-        assertThat(next.lentSlots()).isEqualTo(1);
+        Placer restarted = owner(INCARNATION + 1);
+        firstLoanId(restarted);
+        restarted.onMessage(BORROWER, returnOf(earlier), 10, new ArrayList<>());
+        assertThat(restarted.lentSlots()).isEqualTo(1);
     }
 }
--- a/core/src/test/java/org/boragegap/core/placement/TargetPoolTest.java
+++ b/core/src/test/java/org/boragegap/core/placement/TargetPoolTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Nested;
 import org.junit.jupiter.api.Test;
 
-/** Which targets are given work. */
+/** Which targets accept tasks, depending on the platform's list and their own refusals. */
 final class TargetPoolTest {
     private static final String SERVICE = "service";
     private static final Resources NEED = new Resources(1_000, 100, 0);
@@ -52,7 +52,7 @@
             assertThat(acceptsWork()).isFalse();
         }
 
-        /** Guards against a target that is back at its address being left without work for good. */
+        /** Guards against a target that has come back at its address never getting tasks again. */
         @Test
         void acceptsWorkAgainAfterListedAsLeaving() {
             list(true);
@@ -60,7 +60,7 @@
             assertThat(acceptsWork()).isTrue();
         }
 
-        /** Guards against the same where the target was missing from the list meanwhile. */
+        /** The same for a target that was missing from the list in the meantime. */
         @Test
         void acceptsWorkAgainAfterMissingFromList() {
             mTargets.onListed(List.of(), Set.of());
@@ -68,7 +68,7 @@
             assertThat(acceptsWork()).isTrue();
         }
 
-        /** Guards against the same where nothing is at work there any more. */
+        /** The same for a target on which no task runs any more. */
         @Test
         void acceptsWorkAgainWithNothingRunning() {
             mTargets.onEnded(mState, NEED, new Outcome.Lost("gone"), 20);
