--- a/core/src/main/java/org/boragegap/core/bundle/BundleChain.java
+++ b/core/src/main/java/org/boragegap/core/bundle/BundleChain.java
@@ -154,14 +154,14 @@
         if (mLogHead.isEmpty()) {
             boolean first = bundle.version() == 1 && bundle.parent().isEmpty();
             boolean follows = first && mWindow.newestWasOnlyRecord();
-            return follows ? Optional.empty() : Optional.of("the active bundle is not known here");
+            return follows ? Optional.empty() : Optional.of("what is in force is not known here");
         }
         if (bundle.version() <= versionOf(mLogHead)) {
-            return Optional.of("version " + versionOf(mLogHead) + " is already active");
+            return Optional.of("version " + versionOf(mLogHead) + " is already in force");
         }
         boolean follows =
                 bundle.parent().equals(mLogHead.get().bundle().publication())
                         && bundle.version() == versionOf(mLogHead) + 1;
-        return follows ? Optional.empty() : Optional.of("its parent is not the active bundle");
+        return follows ? Optional.empty() : Optional.of("its parent is not in force");
     }
 }
--- a/core/src/main/java/org/boragegap/core/cell/CrashHistory.java
+++ b/core/src/main/java/org/boragegap/core/cell/CrashHistory.java
@@ -186,7 +186,7 @@
         if (!limitReached) {
             return Optional.empty();
         }
-        String reason = "targets were lost while running task " + task.index() + ": ";
+        String reason = "targets were lost under task " + task.index() + ": ";
         return Optional.of(new Verdict.InDoubt(reason + String.join(",", targets)));
     }
 }
--- a/core/src/main/java/org/boragegap/core/claim/ClaimProtocol.java
+++ b/core/src/main/java/org/boragegap/core/claim/ClaimProtocol.java
@@ -275,8 +275,7 @@
     }
 
     private static ClaimOutcome olderThanCoverage() {
-        return new ClaimOutcome.Unknown(
-                "the id is older than the claims known in this failure domain");
+        return new ClaimOutcome.Unknown("the id is older than this failure domain's memory");
     }
 
     private void grant(PendingClaim pending, List<ClaimAction> out) {
@@ -293,7 +292,7 @@
         ClaimKey key = pending.mClaim.key();
         mPending.remove(key);
         releaseClaim(pending.mClaim, out);
-        String reason = "not all VMs of this failure domain acknowledged the claim in time";
+        String reason = "no agreement within this failure domain";
         out.add(new ClaimAction.Resolve(key, new ClaimOutcome.Unknown(reason)));
     }
 
--- a/core/src/main/java/org/boragegap/core/dispatch/Admission.java
+++ b/core/src/main/java/org/boragegap/core/dispatch/Admission.java
@@ -50,9 +50,7 @@
         }
         if (!mTargets.hasTargets(JobScheduler.serviceOf(submission))) {
             return Optional.of(
-                    notRun(
-                            "no target is known for its service",
-                            RetryAfter.delayMs(waitMs, spread)));
+                    notRun("no target is known for it", RetryAfter.delayMs(waitMs, spread)));
         }
         double finishMs = clock.wallMs() + waitMs + longestTaskMs(submission);
         if (mSettings.refuseHopeless() && finishMs > submission.deadlineMs()) {
--- a/core/src/main/java/org/boragegap/core/dispatch/Dispatcher.java
+++ b/core/src/main/java/org/boragegap/core/dispatch/Dispatcher.java
@@ -316,7 +316,7 @@
         }
         boolean overdue = mDrain.overdue(clock.monotonicMs());
         if (overdue) {
-            mDrain.addFailed(mJobs.failAll("this VM is shutting down", clock, out));
+            mDrain.addFailed(mJobs.failAll("this VM is going away", clock, out));
         }
         boolean idle = mJobs.unanswered() == 0 && mRouter.idle() && mJobs.runningAttempts() == 0;
         if (!idle && !overdue) {
--- a/core/src/main/java/org/boragegap/core/dispatch/SubmissionRouter.java
+++ b/core/src/main/java/org/boragegap/core/dispatch/SubmissionRouter.java
@@ -138,7 +138,7 @@
     private void onMintedId(Event.Submitted event, String minter, List<Action> out) {
         Submission submission = event.submission();
         if (minter.equals(mSelfAddress) || event.hops() >= MAX_HOPS) {
-            String reason = "the VM that minted this id no longer knows it";
+            String reason = "the VM that holds this id no longer knows it";
             Answer answer = Replies.failed(FailureKind.MAY_HAVE_RUN, reason);
             mReplies.reply(event.caller(), submission, answer, out);
             return;
@@ -239,7 +239,7 @@
     private void onHeldElsewhere(
             PendingSubmission pending, ClaimOutcome.HeldBy held, List<Action> out) {
         if (!held.reachable() || pending.mHops >= MAX_HOPS) {
-            String reason = "the VM that held the submission can't be reached";
+            String reason = "the VM that held it is gone";
             Answer answer = Replies.mayHaveRun(pending.mSubmission, reason);
             mReplies.replyAll(pending.mCallers, pending.mSubmission, answer, out);
             return;
@@ -293,7 +293,7 @@
             forward(submission, next.get(), forward.hops(), forward.callers(), out);
             return;
         }
-        String reason = "the VM to which the submission was forwarded did not answer";
+        String reason = "the VM that it was handed to did not answer";
         mReplies.replyAll(
                 forward.callers(), submission, Replies.mayHaveRun(submission, reason), out);
     }
