--- a/core/src/main/java/org/boragegap/core/cell/Candidacy.java
+++ b/core/src/main/java/org/boragegap/core/cell/Candidacy.java
@@ -10,45 +10,49 @@
 import org.apache.commons.codec.digest.MurmurHash3;
 
 /**
- * Whether this VM asks the group for the cell.
+ * Decides whether this VM is a candidate for the cell, that is, whether it requests the cell from
+ * the group.
  *
- * <p>The group deals the cell anew whenever one more member asks for it, and each move costs
- * callers some 200 ms. So one VM asks at a time: the strongest as soon as most VMs miss the
- * controller, each further one a step later, and whoever hears another one control the cell asks no
- * longer. When all asked at once, a start of all VMs saw three controllers within 350 ms, and a VM
- * that left moved the cell away from a controller in good health.
+ * <p>The group rebalances whenever the set of candidates grows, and each move of the cell delays
+ * callers by some 200 ms. So one VM requests it at a time: the strongest VM as soon as a majority
+ * of VMs misses the controller, each further one a step later. A candidate that hears another VM
+ * control the cell ends its candidacy. When all VMs requested the cell at once, a start of all VMs
+ * went through three controllers within 350 ms, and a VM that left moved the cell away from a
+ * healthy controller.
  *
- * <p>Guards against a VM that is cut off from the others but not from the store: it hears no
- * controller, asks, and is dealt the cell, while nobody can offer it a job. Nobody else misses the
- * controller, so it doesn't ask.
+ * <p>The majority guards against a VM that is disconnected from the other VMs but not from the
+ * store: it hears no controller, requests the cell and is assigned it, while nobody can offer it a
+ * job. Since no other VM misses the controller, it does not request the cell.
  */
 final class Candidacy {
     /**
-     * Time between one VM and the next in order, in ms. The first one asks before the group drops
-     * the lost controller, which may be half a second later, and a join takes up to 100 ms more.
-     * Were the next one to ask meanwhile too, the group would deal the cell among both, and again
-     * whenever another lost VM's lease ends; each move costs callers up to a second.
+     * Time between the candidacy of one VM and that of the next in order, in ms. The first VM
+     * requests the cell before the group drops the lost controller, which may take half a second
+     * longer, and a join takes up to 100 ms more. If the next VM became a candidate in that time,
+     * the group would assign the cell to either of them, and again whenever the lease of another
+     * lost VM ends; each move delays callers by up to a second.
      */
     private static final long STAGGER_MS = 600;
 
-    /** Steps that the last VMs of a large group wait at the most. */
+    /** Maximum number of steps that the last VMs of a large group wait. */
     private static final int MAX_STAGGER_STEPS = 5;
 
-    /** Time between two messages that tell the others, in ms. */
+    /** Time between two notices to the other VMs that this one misses the controller, in ms. */
     private static final long NOTICE_INTERVAL_MS = 100;
 
-    /** How long such a message counts, in ms; three of them. */
+    /** How long a received notice is valid, in ms: three intervals. */
     private static final long NOTICE_VALID_MS = 300;
 
     /**
-     * How many of the strongest VMs are told; they are the first in order, so the others' word is
-     * of use to them alone, and messages of all to all grow with the square of the VMs.
+     * Number of VMs, the strongest first, that are sent notices. They are the first in order, so
+     * only they need the notices of the others, and the number of messages from all VMs to all
+     * grows with the square of the number of VMs.
      */
     private static final int MAX_NOTICE_RECIPIENTS = 12;
 
     private record MissingNotice(int strength, long atMs) {}
 
-    /** Time between two joins of a VM that asks, in ms; a join costs a tenth of a call. */
+    /** Time between two joins of a candidate, in ms; a join costs a tenth of a call. */
     private static final long JOIN_INTERVAL_MS = 50;
 
     private final Map<String, MissingNotice> mMissingNotices = new HashMap<>();
@@ -56,35 +60,38 @@
     private final HeartbeatTiming mTiming;
     private boolean mCandidate;
 
-    /** Since when most VMs have missed the controller for long enough; the maximum if not now. */
+    /**
+     * Since when a majority has missed the controller for long enough; the maximum value if it does
+     * not.
+     */
     private long mMajoritySinceMs = Long.MAX_VALUE;
 
     private long mLastNoticeMs = Long.MIN_VALUE / 2;
     private long mJoinedMs = Long.MIN_VALUE / 2;
 
-    Candidacy(int cell, HeartbeatTiming pace) {
+    Candidacy(int cell, HeartbeatTiming timing) {
         mCell = cell;
-        mTiming = pace;
+        mTiming = timing;
     }
 
     boolean isCandidate() {
         return mCandidate;
     }
 
-    /** This VM can't take the cell, or hears another one control it. */
+    /** Ends the candidacy: this VM can't take the cell, or hears another VM control it. */
     void end() {
         mCandidate = false;
     }
 
-    /** Another VM says that it misses the controller. */
+    /** Records that another VM misses the controller. */
     void recordMissingNotice(String peer, int strength, long nowMs) {
         mMissingNotices.put(peer, new MissingNotice(strength, nowMs));
     }
 
     /**
-     * Whether the others should be told now that this VM misses the controller.
+     * Whether the other VMs should now be notified that this VM misses the controller.
      *
-     * @param silentMs for how long no controller was heard of, in ms
+     * @param silentMs how long no controller was heard, in ms
      */
     boolean shouldSendNotice(long silentMs, long nowMs) {
         if (silentMs <= mTiming.missingAfterMs() || nowMs - mLastNoticeMs < NOTICE_INTERVAL_MS) {
@@ -95,11 +102,12 @@
     }
 
     /**
-     * Looks whether it is this VM's turn: the first in order asks as soon as most VMs miss the
-     * controller, the others a step later each, counted from then. By the silence alone several
-     * asked at once when the lost VMs had to be dropped from the group before most missed it.
+     * Decides whether this VM is a candidate: the first VM in order becomes one as soon as a
+     * majority misses the controller, each of the others a step later, counted from that moment.
+     * When the steps were counted from the beginning of the silence, several VMs became candidates
+     * at once if lost VMs had to be dropped from the group before a majority missed the controller.
      *
-     * @param silentMs for how long no controller was heard of, in ms
+     * @param silentMs how long no controller was heard, in ms
      * @param strength how much processor this VM has for the cell
      * @param peers the other VMs in the group
      */
@@ -109,21 +117,23 @@
             mMajoritySinceMs = Long.MAX_VALUE;
             return;
         }
-        List<String> voters = peers.stream().filter(peer -> hasMissingNotice(peer, nowMs)).toList();
-        boolean most = 2 * (voters.size() + 1) > peers.size() + 1;
-        if (!most || silentMs <= mTiming.lostAfterMs()) {
+        List<String> missing =
+                peers.stream().filter(peer -> hasMissingNotice(peer, nowMs)).toList();
+        boolean majority = 2 * (missing.size() + 1) > peers.size() + 1;
+        if (!majority || silentMs <= mTiming.lostAfterMs()) {
             mMajoritySinceMs = Long.MAX_VALUE;
             return;
         }
         mMajoritySinceMs = Math.min(mMajoritySinceMs, nowMs);
-        long before = voters.stream().filter(peer -> ranksBefore(peer, self, strength)).count();
-        long steps = Math.min(before, MAX_STAGGER_STEPS);
+        long rankedBefore =
+                missing.stream().filter(peer -> ranksBefore(peer, self, strength)).count();
+        long steps = Math.min(rankedBefore, MAX_STAGGER_STEPS);
         mCandidate |= nowMs - mMajoritySinceMs >= steps * STAGGER_MS;
     }
 
     /**
-     * Whether to join now. The group deals the cell with the first join after its last holder is
-     * dropped; one that asks joins often, so as not to lose a quarter of a second then.
+     * Whether to join the group now. The group assigns the cell with the first join after its last
+     * holder is dropped. A candidate joins often so that no quarter of a second is lost then.
      */
     boolean shouldJoin(long nowMs) {
         if (!mCandidate || nowMs - mJoinedMs < JOIN_INTERVAL_MS) {
@@ -134,11 +144,11 @@
     }
 
     private boolean hasMissingNotice(String peer, long nowMs) {
-        MissingNotice missed = mMissingNotices.get(peer);
-        return missed != null && nowMs - missed.atMs() < NOTICE_VALID_MS;
+        MissingNotice notice = mMissingNotices.get(peer);
+        return notice != null && nowMs - notice.atMs() < NOTICE_VALID_MS;
     }
 
-    /** The stronger one is before; among equals the order differs from cell to cell. */
+    /** Stronger VMs rank first; among equals the order differs from cell to cell. */
     private boolean ranksBefore(String peer, String self, int strength) {
         int byStrength = Integer.compare(strength, mMissingNotices.get(peer).strength());
         if (byStrength != 0) {
@@ -153,13 +163,13 @@
         return MurmurHash3.hash32x86(bytes);
     }
 
-    /** The VMs that should be told: the strongest ones, and those of unknown strength. */
+    /** The VMs that are sent notices: the strongest ones, and those of unknown strength. */
     Set<String> noticeRecipients(Set<String> peers) {
         if (peers.size() <= MAX_NOTICE_RECIPIENTS) {
             return peers;
         }
-        Set<String> told = new HashSet<>(peers);
-        told.removeAll(mMissingNotices.keySet());
+        Set<String> recipients = new HashSet<>(peers);
+        recipients.removeAll(mMissingNotices.keySet());
         peers.stream()
                 .filter(mMissingNotices::containsKey)
                 .sorted(
@@ -167,7 +177,7 @@
                                         (String peer) -> -mMissingNotices.get(peer).strength())
                                 .thenComparingInt(this::tieBreaker))
                 .limit(MAX_NOTICE_RECIPIENTS)
-                .forEach(told::add);
-        return told;
+                .forEach(recipients::add);
+        return recipients;
     }
 }
--- a/core/src/main/java/org/boragegap/core/cell/CellLayout.java
+++ b/core/src/main/java/org/boragegap/core/cell/CellLayout.java
@@ -8,21 +8,22 @@
 import org.apache.commons.codec.digest.MurmurHash3;
 
 /**
- * How a deployment is divided into cells. Each job and each target belongs to one cell for good, by
- * the hash of its id, so that a job which is handed in again meets the controller that knows it.
+ * The division of a deployment into cells. Each job and each target belongs permanently to one
+ * cell, by the hash of its id, so that a job that is submitted again reaches the controller that
+ * knows it.
  *
  * <p>A controller's work grows with its cell, not with the deployment. The number of cells is
- * decided once for a deployment and kept in the store: were it to change, two controllers might
- * take the same target or job for theirs. So is the least lease of the group: what one VM says for
- * another counts for a lease, which has to be the same on all.
+ * decided once for a deployment and kept in the store: if it changed, two controllers might claim
+ * the same target or job. The minimum lease of the group is kept there for the same reason: a VM's
+ * endorsement of another is valid for one lease, which has to be the same on all VMs.
  *
- * @param cells how many there are
- * @param minLeaseMs least lease that a VM asks the group for, in ms
+ * @param cells number of cells
+ * @param minLeaseMs minimum lease that a VM requests from the group, in ms
  */
 public record CellLayout(int cells, long minLeaseMs) {
     /**
-     * Targets of one cell, about: what the controller of one core bears; smaller cells pool less
-     * room, and refuse callers while others have some.
+     * Approximate number of targets in a cell: as many as a controller with one core can handle.
+     * Smaller cells pool less capacity, and refuse callers while others have some free.
      */
     private static final int TARGETS_PER_CELL = 50;
 
@@ -38,28 +39,29 @@
     private static final double MAX_CELL_CPU_SHARE = 0.5;
 
     /**
-     * A controller with less processor than this, in thousandths of a core, needs a longer lease:
-     * on an eighth of a core the first second of load, with code that isn't compiled, held it up
-     * for longer than a lease of a second, and the cell went on to the next one, to the same end.
+     * A controller with less processor than this, in thousandths of a core, needs a longer lease.
+     * With an eighth of a core, the first second of load, running code that isn't compiled yet,
+     * stalled a controller for longer than a lease of a second, and the cell moved to the next VM,
+     * which failed in the same way.
      */
     private static final int SLOW_CPU_MILLIS = 300;
 
-    /** That lease, in ms. A lost controller is replaced two seconds later by it. */
+    /** The longer lease, in ms. With it, a lost controller is replaced two seconds later. */
     private static final long SLOW_LEASE_MS = 3_000;
 
-    /** Longest lease that a layout may name, in ms; far more than any VM is held up. */
+    /** Longest lease that a layout may specify, in ms; far longer than any stall of a VM. */
     private static final long MAX_LEASE_MS = 60_000;
 
-    /** Most cells; each has a topic in the store, which has room for 100. */
+    /** Maximum number of cells; each has a topic in the store, which allows 100 topics. */
     private static final int MAX_CELLS = 60;
 
     /**
-     * The layout for a deployment: cells of about fifty targets, or of as many fewer as the VMs
-     * that will control them can bear. Two cells of 43 targets on VMs with an eighth of a core
-     * served nothing: their controllers were busy with them three times over.
+     * Returns the layout for a deployment: cells of about fifty targets, or of fewer if the VMs
+     * that will control them can't handle as many. Two cells of 43 targets on VMs with an eighth of
+     * a core served nothing: they needed three times the processor that their controllers had.
      *
-     * @param targets how many targets it has
-     * @param cpuMillis processor of each entry VM that is known, in thousandths of a core
+     * @param targets number of targets in the deployment
+     * @param cpuMillis processor of each known entry VM, in thousandths of a core
      */
     public static CellLayout forDeployment(int targets, List<Integer> cpuMillis) {
         int fewest = Math.max(1, (targets + TARGETS_PER_CELL - 1) / TARGETS_PER_CELL);
@@ -79,12 +81,12 @@
         return slow ? SLOW_LEASE_MS : 0;
     }
 
-    /** A layout whose VMs need no longer lease than the platform grants at least. */
+    /** A layout whose VMs need no longer lease than the minimum that the platform grants. */
     public static CellLayout ofCells(int cells) {
         return new CellLayout(cells, 0);
     }
 
-    /** True when each of the strongest VMs can bear one of so many cells. */
+    /** True when each of the strongest VMs, one for each cell, can control a cell of this size. */
     private static boolean canCarryCells(List<Integer> strongestFirst, int targets, int cells) {
         if (strongestFirst.size() < cells) {
             return true;
@@ -93,15 +95,15 @@
         return strongestFirst.get(cells - 1) * MAX_CELL_CPU_SHARE >= perCell;
     }
 
-    /** Reads what {@link #text} has written; empty if it can't be read. */
+    /** Parses what {@link #text} returns; empty if the text is invalid. */
     public static Optional<CellLayout> parse(String text) {
         String[] parts = text.split(SEPARATOR, 2);
         try {
             int cells = Integer.parseInt(parts[0]);
             long leaseMs = parts.length == 2 ? Long.parseLong(parts[1]) : 0;
-            boolean good = cells >= 1 && cells <= MAX_CELLS;
-            good &= leaseMs >= 0 && leaseMs <= MAX_LEASE_MS;
-            return good ? Optional.of(new CellLayout(cells, leaseMs)) : Optional.empty();
+            boolean valid = cells >= 1 && cells <= MAX_CELLS;
+            valid &= leaseMs >= 0 && leaseMs <= MAX_LEASE_MS;
+            return valid ? Optional.of(new CellLayout(cells, leaseMs)) : Optional.empty();
         } catch (NumberFormatException e) {
             return Optional.empty();
         }
@@ -117,7 +119,7 @@
         return cellOf(id);
     }
 
-    /** Cell of a target; another incarnation may belong to another cell. */
+    /** Cell of a target; another incarnation of it may belong to another cell. */
     public int cellOfTarget(String id) {
         return cellOf(id);
     }
--- a/core/src/main/java/org/boragegap/core/cell/CellMember.java
+++ b/core/src/main/java/org/boragegap/core/cell/CellMember.java
@@ -9,14 +9,14 @@
 import org.boragegap.core.ClockReading;
 
 /**
- * All decisions of one entry VM: its desk, its membership and, while it controls the cell, the
- * controller; and what they say to the other entry VMs.
+ * All decisions of one entry VM about a cell: its pending jobs, its membership in the group, the
+ * controller while it controls the cell, and its messages to the other entry VMs.
  */
 public final class CellMember {
-    /** Pause between two reads of the group's members while a term is not settled, in ms. */
+    /** Time between two reads of the group's members until the predecessors are known, in ms. */
     private static final long UNSETTLED_READ_INTERVAL_MS = 100;
 
-    /** The same while no controller is heard; the group drops a silent member after a second. */
+    /** Same, while no controller is heard; the group drops a silent member after a second. */
     private static final long MISSING_READ_INTERVAL_MS = 400;
 
     private final String mSelf;
@@ -36,32 +36,32 @@
     private List<MemberAction> mActions;
 
     private CellMember(
-            String self, int cell, CellSettings settings, long groupLeaseMs, ClockReading began) {
+            String self, int cell, CellSettings settings, long groupLeaseMs, ClockReading start) {
         mSelf = self;
-        mPendingJobs = PendingJobs.create(mTiming, began);
+        mPendingJobs = PendingJobs.create(mTiming, start);
         mController = CellController.create(settings);
-        mMembership = Membership.create(groupLeaseMs, began);
+        mMembership = Membership.create(groupLeaseMs, start);
         mSearch = new ControllerSearch(self, cell, mMembership, mPendingJobs, mFollowers, mTiming);
     }
 
     /**
-     * Makes a member.
+     * Creates a member.
      *
      * @param self peer address of this VM
      * @param cell number of the cell
-     * @param settings bounds of the platform
+     * @param settings limits set by the platform
      * @param groupLeaseMs how long the group keeps a silent member, in ms
-     * @param began when this process began
+     * @param start when this process started
      */
     public static CellMember create(
-            String self, int cell, CellSettings settings, long groupLeaseMs, ClockReading began) {
-        return new CellMember(self, cell, settings, groupLeaseMs, began);
+            String self, int cell, CellSettings settings, long groupLeaseMs, ClockReading start) {
+        return new CellMember(self, cell, settings, groupLeaseMs, start);
     }
 
     /**
-     * Says what the deployment is like; heartbeats are paced by it.
+     * Sets the size of the deployment, on which the period of heartbeats depends.
      *
-     * @param cells how many cells it has
+     * @param cells number of cells in the deployment
      * @param cpuMillis processor of this VM, in thousandths of a core
      */
     public void deployment(int cells, int cpuMillis) {
@@ -69,15 +69,14 @@
     }
 
     /**
-     * Says how much processor this VM has for the cell, in thousandths of a core. The strongest VM
-     * takes the cell; one that controls other cells has less for this one, and so has one that is
-     * held up by its own work.
+     * Sets the processor that this VM has for the cell, in thousandths of a core; the strongest VM
+     * takes the cell. Other cells that it controls, and stalls by its own work, reduce it.
      */
     public void strength(int strength) {
         mSearch.strength(mHeartbeats.strength(strength));
     }
 
-    /** What the controller has in hand. */
+    /** State of the controller, for metrics. */
     public CellState state() {
         return mController.state();
     }
@@ -88,39 +87,39 @@
     }
 
     /**
-     * True when this VM may leave the group. One that has just given the cell up has to stay until
-     * its leases are over: a next controller takes it that the tasks of a VM that is not in the
-     * group are over, and would start those that are at work a second time.
+     * True when this VM may leave the group. After giving up the cell it has to stay until its
+     * leases have expired: the next controller assumes that tasks of a VM that is not in the group
+     * have ended, and would start those that still run a second time.
      */
     public boolean mayLeave(ClockReading clock) {
         return mPredecessors.ownLeasesExpired(clock.monotonicMs());
     }
 
     /**
-     * True when timeouts of some ten ms are to be watched over: this VM controls the cell, or asks
-     * for it. One that follows a controller has heartbeats to miss and callers to watch, whose
-     * times are counted in hundreds of ms.
+     * True when timeouts of some ten ms have to be checked: this VM controls the cell, or is a
+     * candidate for it. A follower only waits for heartbeats and for its callers, with timeouts of
+     * hundreds of ms.
      */
     public boolean needsShortTicks() {
         return wantsCell();
     }
 
-    /** Time between two ticks while it isn't busy, in ms. */
+    /** Time between two ticks while no short ticks are needed, in ms. */
     public long idleTickMs() {
         return mTiming.tickMs();
     }
 
-    /** How many callers wait here. */
+    /** Number of callers that wait at this VM. */
     public int waitingCallers() {
         return mPendingJobs.waitingCallers();
     }
 
-    /** Generation of the group to name when joining again. */
+    /** Generation of the group to send with the next join. */
     public long generation() {
         return mMembership.generation();
     }
 
-    /** Handles an event; what is to be done is added to {@code actions}. */
+    /** Handles an event and adds the resulting actions to {@code actions}. */
     public void on(MemberEvent event, ClockReading clock, List<MemberAction> actions) {
         mClock = clock;
         mActions = actions;
@@ -139,8 +138,8 @@
             received(received.from(), received.message());
         } else if (event instanceof MemberEvent.ForController control) {
             toController(control.event());
-        } else if (event instanceof MemberEvent.ForPendingJobs desk) {
-            toPending(desk.event());
+        } else if (event instanceof MemberEvent.ForPendingJobs pending) {
+            toPending(pending.event());
         } else if (event instanceof MemberEvent.Resigned) {
             resign();
         } else if (event instanceof MemberEvent.Draining) {
@@ -165,9 +164,9 @@
     }
 
     /**
-     * Guards against a cell that is dealt to a VM which asks for it no longer: it has heard the
-     * controller meanwhile, and would depose it in good health. The group hears of it with the next
-     * join. What this VM has heard of itself, before its own term ended, doesn't count.
+     * Guards against a cell that is assigned to a VM that is no longer a candidate: it has heard
+     * the controller meanwhile, and would depose a healthy one. The group learns of this with the
+     * next join. Heartbeats that this VM heard from itself, before its own term ended, don't count.
      */
     private boolean hearsAnotherController() {
         Optional<String> heard = mPendingJobs.controller(mClock.monotonicMs());
@@ -183,7 +182,7 @@
         checkPredecessors();
     }
 
-    /** Begins or ends the controller's term as the membership says. */
+    /** Begins or ends the controller's term according to the membership. */
     private void updateTerm() {
         Optional<Long> held = mMembership.fence();
         Optional<Long> term = mController.fence();
@@ -196,8 +195,8 @@
             }
             toController(new CellEvent.TermEnded());
             if (!mMembership.assignedElsewhere()) {
-                // Told so, another VM asks for the cell at once. Where the group names another
-                // holder already, one more that asks would only make it deal the cell again.
+                // On this message another VM becomes a candidate at once. If the group has named
+                // another holder already, a further candidate would only cause another rebalance.
                 broadcast(new CellMessage.Leaving(term.get()));
             }
             mActions.add(new MemberAction.WatchTargets(false));
@@ -215,7 +214,7 @@
         }
     }
 
-    /** Looks for a controller while none is heard, and asks for the cell when it is its turn. */
+    /** Searches for a controller while none is heard, and updates the candidacy of this VM. */
     private void searchController() {
         boolean controls = mController.fence().isPresent();
         boolean able = mController.knowsEvacuations();
@@ -230,35 +229,35 @@
         mActions.add(new MemberAction.ReadMembers());
     }
 
-    /** Finds out whether an earlier controller's tasks may still be at work. */
+    /** Checks whether tasks of an earlier controller may still be running. */
     private void checkPredecessors() {
-        Set<String> vms = mFollowers.peers();
-        if (!mPredecessors.update(vms, mMembership.sawNoOutage(mClock), mClock.monotonicMs())) {
+        Set<String> peers = mFollowers.peers();
+        if (!mPredecessors.update(peers, mMembership.sawNoOutage(mClock), mClock.monotonicMs())) {
             return;
         }
-        Predecessors.Knowledge known = mPredecessors.known();
-        log(Decision.self("predecessors", "vms=" + vms.size(), known.name()));
-        if (known.isSufficient()) {
-            boolean over = known == Predecessors.Knowledge.OVER;
-            toController(new CellEvent.PredecessorsKnown(over));
+        Predecessors.Knowledge knowledge = mPredecessors.known();
+        log(Decision.self("predecessors", "vms=" + peers.size(), knowledge.name()));
+        if (knowledge.isSufficient()) {
+            boolean leasesExpired = knowledge == Predecessors.Knowledge.OVER;
+            toController(new CellEvent.PredecessorsKnown(leasesExpired));
         }
     }
 
-    /** Whether this VM asks the group for the cell. */
+    /** Whether this VM requests the cell from the group: it is a candidate or controls the cell. */
     public boolean wantsCell() {
         return mSearch.isCandidate() || mController.fence().isPresent();
     }
 
     /**
-     * Whether callers do well to come here. A VM that hears neither the store nor a controller
-     * can't serve them; told so, the platform sends them to other failure domains.
+     * Whether callers should be sent to this VM. A VM that hears neither the store nor a controller
+     * can't serve them; when told so, the platform sends them to other failure domains.
      */
     public boolean canServeCallers(ClockReading clock) {
         boolean isolated = mMembership.storeSilent(clock);
         return !isolated || mPendingJobs.controller(clock.monotonicMs()).isPresent();
     }
 
-    /** Another VM misses the controller; it may have come just now, and be unknown here. */
+    /** Another VM misses the controller; it may be new and unknown here. */
     private void controllerMissing(String from, CellMessage.ControllerMissing missing) {
         mFollowers.addPeer(from, mClock.monotonicMs());
         mSearch.recordMissingNotice(from, missing.strength(), mClock);
@@ -270,7 +269,7 @@
                 .ifPresent(own -> mActions.add(new MemberAction.Send(from, heartbeat(own))));
     }
 
-    /** Targets of the last controller heard of, if it has told them. */
+    /** Targets of the last controller that was heard, if it has sent them. */
     private Optional<CellMessage.Targets> inheritedTargets() {
         return mTargets.ofTerm(mPendingJobs.fence());
     }
@@ -289,11 +288,11 @@
         searchController();
         if (mController.fence().isPresent()) {
             toController(new CellEvent.Ticked());
-            boolean settled = mPredecessors.known().isSufficient();
-            if (!settled && nowMs - mMembersReadMs >= UNSETTLED_READ_INTERVAL_MS) {
+            boolean predecessorsKnown = mPredecessors.known().isSufficient();
+            if (!predecessorsKnown && nowMs - mMembersReadMs >= UNSETTLED_READ_INTERVAL_MS) {
                 readMembers();
             }
-            if (mHeartbeats.isDue(settled, mFollowers.peers().size(), nowMs)) {
+            if (mHeartbeats.isDue(predecessorsKnown, mFollowers.peers().size(), nowMs)) {
                 sendHeartbeat();
             }
         }
@@ -304,9 +303,9 @@
         mHeartbeats.recordSent(mClock.monotonicMs());
         Optional<Long> fence = mController.fence();
         if (fence.isPresent()) {
-            CellMessage.Heartbeat leading = heartbeat(fence.get());
-            mTiming.periodAnnounced(leading.periodMs());
-            broadcast(leading);
+            CellMessage.Heartbeat heartbeat = heartbeat(fence.get());
+            mTiming.periodAnnounced(heartbeat.periodMs());
+            broadcast(heartbeat);
             toPending(new EntryEvent.ControllerHeard(mSelf, fence.get()));
         }
     }
@@ -326,7 +325,7 @@
         return new CellMessage.Heartbeat(fence, mClock, periodMs);
     }
 
-    /** Since when most others follow this VM without the store, while it hears nothing of it. */
+    /** Last heartbeat that a majority endorsed; empty while this VM reaches the store itself. */
     private Optional<ClockReading> quorumHeartbeat() {
         return mMembership.storeSilent(mClock) ? mFollowers.endorsed(mClock) : Optional.empty();
     }
@@ -340,8 +339,8 @@
             toController(new CellEvent.Withdrawn(from, withdraw.job()));
         } else if (message instanceof CellMessage.Decided decided) {
             toPending(new EntryEvent.Decided(decided.job(), decided.number(), decided.verdict()));
-        } else if (message instanceof CellMessage.Heartbeat leading) {
-            heartbeatReceived(from, leading);
+        } else if (message instanceof CellMessage.Heartbeat heartbeat) {
+            heartbeatReceived(from, heartbeat);
         } else if (message instanceof CellMessage.Leaving leaving) {
             toPending(new EntryEvent.ControllerLeft(leaving.fence()));
             searchController();
@@ -349,23 +348,22 @@
             controllerMissing(from, missing);
         } else if (message instanceof CellMessage.Targets targets) {
             mTargets.received(targets);
-        } else if (message instanceof CellMessage.Crashed crashed) {
+        } else if (message instanceof CellMessage.Crashed crash) {
             toController(
-                    new CellEvent.CrashReported(
-                            crashed.task(), crashed.target(), crashed.evidence()));
-        } else if (message instanceof CellMessage.HeartbeatReply following) {
-            heartbeatReplyReceived(from, following);
+                    new CellEvent.CrashReported(crash.task(), crash.target(), crash.evidence()));
+        } else if (message instanceof CellMessage.HeartbeatReply reply) {
+            heartbeatReplyReceived(from, reply);
         }
     }
 
     /**
-     * Guards against an offer that was meant for an earlier term. The entry VM counts to how many
-     * controllers it has offered a job; if a later term took the offer, it would hold the job for a
-     * new one, and might refuse it as not run while the earlier term's start is at work.
+     * Guards against an offer that was meant for an earlier term. The entry VM counts the
+     * controllers to which it has offered a job. A later term that accepted the offer would take
+     * the job for a new one, and might refuse it as not run while an earlier run of it is active.
      */
     private void offered(String from, CellMessage.Offer offer) {
-        boolean meant = mController.fence().filter(own -> own == offer.fence()).isPresent();
-        if (meant) {
+        boolean currentTerm = mController.fence().filter(own -> own == offer.fence()).isPresent();
+        if (currentTerm) {
             toController(
                     new CellEvent.Offered(
                             from,
@@ -377,59 +375,59 @@
         }
     }
 
-    private void heartbeatReceived(String from, CellMessage.Heartbeat leading) {
-        if (isLaterTerm(leading.fence())) {
-            deposed(leading.fence());
+    private void heartbeatReceived(String from, CellMessage.Heartbeat heartbeat) {
+        if (isLaterTerm(heartbeat.fence())) {
+            deposed(heartbeat.fence());
         }
-        if (leading.fence() >= mPendingJobs.fence()) {
-            mTiming.periodAnnounced(leading.periodMs());
+        if (heartbeat.fence() >= mPendingJobs.fence()) {
+            mTiming.periodAnnounced(heartbeat.periodMs());
         }
-        toPending(new EntryEvent.ControllerHeard(from, leading.fence()));
-        if (mController.fence().isEmpty() && leading.fence() == mPendingJobs.fence()) {
+        toPending(new EntryEvent.ControllerHeard(from, heartbeat.fence()));
+        if (mController.fence().isEmpty() && heartbeat.fence() == mPendingJobs.fence()) {
             mSearch.controllerHeard(from, mActions);
         }
-        mActions.add(new MemberAction.Send(from, heartbeatReply(leading.sent())));
+        mActions.add(new MemberAction.Send(from, heartbeatReply(heartbeat.sent())));
     }
 
     private CellMessage.HeartbeatReply heartbeatReply(ClockReading heartbeat) {
-        boolean cutOff = mMembership.storeSilent(mClock);
-        if (cutOff) {
+        boolean storeSilent = mMembership.storeSilent(mClock);
+        if (storeSilent) {
             mMembership.endorsedController(mClock);
         }
-        boolean steady = mMembership.sawNoOutage(mClock);
+        boolean sawNoOutage = mMembership.sawNoOutage(mClock);
         long fence = mPendingJobs.fence();
         return new CellMessage.HeartbeatReply(
                 fence,
                 heartbeat,
-                cutOff,
-                steady,
+                storeSilent,
+                sawNoOutage,
                 mPredecessors.lastOwnFence(),
                 mPredecessors.lastOwnTermEndedAgoMs(mClock.monotonicMs()),
                 mTargets.version(fence));
     }
 
-    private void heartbeatReplyReceived(String from, CellMessage.HeartbeatReply following) {
+    private void heartbeatReplyReceived(String from, CellMessage.HeartbeatReply reply) {
         mFollowers.addPeer(from, mClock.monotonicMs());
         Optional<Long> own = mController.fence();
-        if (isLaterTerm(following.fence())) {
-            deposed(following.fence());
-        } else if (own.filter(fence -> fence > following.fence()).isPresent()) {
+        if (isLaterTerm(reply.fence())) {
+            deposed(reply.fence());
+        } else if (own.filter(fence -> fence > reply.fence()).isPresent()) {
             mActions.add(new MemberAction.Send(from, heartbeat(own.get())));
-        } else if (mController.fence().filter(f -> f == following.fence()).isPresent()) {
-            mFollowers.answered(from, following.storeSilent(), following.heartbeat());
-            sendMissedTargets(from, following);
-            mPredecessors.answered(from, following);
+        } else if (mController.fence().filter(f -> f == reply.fence()).isPresent()) {
+            mFollowers.answered(from, reply.storeSilent(), reply.heartbeat());
+            sendMissedTargets(from, reply);
+            mPredecessors.answered(from, reply);
             checkPredecessors();
         }
     }
 
     /**
-     * Guards against a VM that has missed the list of targets: it came while the list stood, or the
-     * message was lost. Should it control the cell next, it could not tell where tasks may be at
-     * work, and would start none before all leases are over; callers would wait for a second.
+     * Sends the list of targets to a VM that joined after it was sent, or lost the message. As the
+     * next controller it could not tell where tasks may be running, and would start none before all
+     * leases have expired; callers would wait for a second.
      */
-    private void sendMissedTargets(String peer, CellMessage.HeartbeatReply following) {
-        mTargets.ifNewerThan(following.fence(), following.targetsVersion())
+    private void sendMissedTargets(String peer, CellMessage.HeartbeatReply reply) {
+        mTargets.ifNewerThan(reply.fence(), reply.targetsVersion())
                 .ifPresent(told -> mActions.add(new MemberAction.Send(peer, told)));
     }
 
@@ -438,12 +436,12 @@
     }
 
     private void deposed(long fence) {
-        log(Decision.self("deposed", "later_fence=" + fence, "gives the cell up"));
+        log(Decision.self("deposed", "later_fence=" + fence, "ends its term"));
         mMembership.deposed();
         updateTerm();
     }
 
-    // The two halves
+    // Controller and pending jobs
 
     private void toController(CellEvent event) {
         List<CellAction> actions = new ArrayList<>();
@@ -477,8 +475,8 @@
     }
 
     private void run(EntryAction action) {
-        if (action instanceof EntryAction.Send tell) {
-            deliver(tell.address(), tell.message());
+        if (action instanceof EntryAction.Send send) {
+            deliver(send.address(), send.message());
         } else if (action instanceof EntryAction.Reply reply) {
             mActions.add(new MemberAction.Reply(reply));
         } else if (action instanceof EntryAction.Log log) {
--- a/core/src/main/java/org/boragegap/core/cell/CellMessage.java
+++ b/core/src/main/java/org/boragegap/core/cell/CellMessage.java
@@ -3,18 +3,20 @@
 import java.util.List;
 import org.boragegap.core.ClockReading;
 
-/** What entry VMs and the controller of a cell tell each other. */
+/** Messages between the entry VMs and the controller of a cell. */
 public sealed interface CellMessage {
 
     /**
      * Entry VM to controller: a caller waits for this job.
      *
-     * @param fence fencing token of the term that is meant; any other ignores the offer
+     * @param fence fencing token of the term that is meant; a controller of another term ignores
+     *     the offer
      * @param request the job
-     * @param ageMs how long ago the caller handed it in, in ms
-     * @param budgetMs how long the caller waits in all, in ms
-     * @param controllers how many controllers it has been offered to, from 1
-     * @param number rises with each offer of the sender, over all its lives; the verdict repeats it
+     * @param ageMs time since the caller submitted it, in ms
+     * @param budgetMs total time that the caller waits, in ms
+     * @param controllers number of controllers to which it has been offered, including this one
+     * @param number rises with each offer of the sender, also across its restarts; the verdict
+     *     repeats it
      */
     record Offer(
             long fence, JobRequest request, long ageMs, long budgetMs, int controllers, long number)
@@ -23,77 +25,80 @@
     /**
      * Entry VM to controller: the caller has left.
      *
-     * @param job the job
+     * @param job id of the job
      */
     record Withdraw(String job) implements CellMessage {}
 
     /**
-     * Controller to entry VM: how a job ended.
+     * Controller to entry VM: the verdict on a job.
      *
-     * @param job the job
-     * @param number of the offer that is answered
-     * @param verdict how it ended
+     * @param job id of the job
+     * @param number number of the offer that is answered
+     * @param verdict how the job ended
      */
     record Decided(String job, long number, Verdict verdict) implements CellMessage {}
 
     /**
-     * Controller to all: who controls the cell; sent as a heartbeat.
+     * Controller to all entry VMs: states who controls the cell.
      *
      * @param fence fencing token of the term
-     * @param sent the controller's clock; an answer repeats it
+     * @param sent the controller's clock; a reply repeats it
      * @param periodMs time until the next heartbeat, in ms
      */
     record Heartbeat(long fence, ClockReading sent, long periodMs) implements CellMessage {}
 
     /**
-     * Controller to all: it has given the cell up, as planned or since its membership is over.
-     * Another one may ask for it at once: else the others would notice after a silence of 500 ms.
+     * Controller to all entry VMs: its term has ended, as planned or because its membership has
+     * expired. Another VM may become a candidate at once; without this message the others would
+     * notice only after a silence of 500 ms.
      *
      * @param fence fencing token of the term
      */
     record Leaving(long fence) implements CellMessage {}
 
     /**
-     * To all: the sender hears no controller. One that controls the cell answers.
+     * To all entry VMs: the sender hears no controller. A VM that controls the cell answers.
      *
      * @param fence highest fencing token that the sender has seen
-     * @param strength how much processor the sender has for the cell, in thousandths of a core
+     * @param strength processor that the sender has for the cell, in thousandths of a core
      */
     record ControllerMissing(long fence, int strength) implements CellMessage {}
 
     /**
-     * Controller to all, on each change: the targets on which it may have started something. The
-     * next controller must hear from each of them before it can tell what runs.
+     * Controller to all entry VMs, on each change: the targets on which it may have started tasks.
+     * The next controller needs a report from each of them before it can tell what runs.
      *
      * @param fence fencing token of the term
-     * @param version rises with each list of the term, from 1
+     * @param version number of the list in the term, from 1
      * @param targets the targets
      */
     record Targets(long fence, long version, List<TargetInfo> targets) implements CellMessage {
-        /** True when a list of another version or term says more than this one. */
+        /** True when {@code other} is of a later term, or a later list of the same term. */
         boolean isOlderThan(Targets other) {
             return fence < other.fence || fence == other.fence && version < other.version;
         }
     }
 
     /**
-     * Controller to all: a target has crashed under a task, which counts for later terms too.
+     * Controller to all entry VMs: a target has crashed while it ran a task, which also counts in
+     * later terms.
      *
      * @param task the task
      * @param target id of the target
-     * @param evidence how surely the task was at work there
+     * @param evidence how certain it is that the task was running there
      */
     record Crashed(TaskName task, String target, CrashEvidence evidence) implements CellMessage {}
 
     /**
-     * Answer to {@link Heartbeat}.
+     * Reply to {@link Heartbeat}.
      *
      * @param fence highest fencing token that the sender has seen
-     * @param heartbeat the clock that the heartbeat told
+     * @param heartbeat the clock value in the heartbeat
      * @param storeSilent true when the store hasn't answered the sender for half a lease
-     * @param sawNoOutage true when the store has answered the sender all the time lately
+     * @param sawNoOutage true when the sender can rule out a recent outage of the store; see {@link
+     *     Membership#sawNoOutage}
      * @param lastOwnFence fencing token of the sender's own last term; 0 if it had none
-     * @param endedAgoMs how long ago that term ended, in ms
+     * @param endedAgoMs time since that term ended, in ms
      * @param targetsVersion version of the term's list of targets that the sender has; 0 for none
      */
     record HeartbeatReply(
--- a/core/src/main/java/org/boragegap/core/cell/ControllerSearch.java
+++ b/core/src/main/java/org/boragegap/core/cell/ControllerSearch.java
@@ -4,11 +4,14 @@
 import java.util.OptionalLong;
 import org.boragegap.core.ClockReading;
 
-/** What this VM does while it hears no controller: tells the others, and asks for the cell. */
+/**
+ * Actions of a VM that hears no controller: it notifies the others, and may become a candidate for
+ * the cell.
+ */
 final class ControllerSearch {
     /**
-     * How long the others have to answer a VM that has just got to know them, in ms: the controller
-     * answers within some hops that it is well.
+     * Time that the other VMs have to answer a VM that has just learnt of them, in ms: a healthy
+     * controller answers within some network delays.
      */
     private static final long ANSWER_WAIT_MS = 150;
 
@@ -24,14 +27,14 @@
             String self,
             int cell,
             Membership membership,
-            PendingJobs desk,
+            PendingJobs pendingJobs,
             Followers followers,
-            HeartbeatTiming pace) {
+            HeartbeatTiming timing) {
         mSelf = self;
-        mTiming = pace;
-        mCandidacy = new Candidacy(cell, pace);
+        mTiming = timing;
+        mCandidacy = new Candidacy(cell, timing);
         mMembership = membership;
-        mPendingJobs = desk;
+        mPendingJobs = pendingJobs;
         mFollowers = followers;
     }
 
@@ -40,38 +43,39 @@
         mStrength = strength;
     }
 
-    /** Whether this VM asks the group for the cell. */
+    /** Whether this VM requests the cell from the group. */
     boolean isCandidate() {
         return mCandidacy.isCandidate();
     }
 
-    /** Another VM says that it misses the controller. */
+    /** Records that another VM misses the controller. */
     void recordMissingNotice(String peer, int strength, ClockReading clock) {
         mCandidacy.recordMissingNotice(peer, strength, clock.monotonicMs());
     }
 
     /**
-     * Another VM controls the cell. Guards against a cell that moves again: the group deals it anew
-     * among all that ask whenever the lease of a lost VM ends, so it is told at once that this VM
-     * asks no longer.
+     * Another VM controls the cell. Guards against the cell moving again: whenever the lease of a
+     * lost VM ends, the group reassigns the cell among all candidates. So the group learns at once
+     * that this VM is no longer one.
      */
     void controllerHeard(String controller, List<MemberAction> actions) {
         if (!mCandidacy.isCandidate()) {
             return;
         }
         mCandidacy.end();
-        log("controller=" + controller, "asks no more", actions);
+        log("controller=" + controller, "ends its candidacy", actions);
         actions.add(new MemberAction.Rejoin());
     }
 
     /**
-     * Asks for the cell when it is this VM's turn; the group hears of it at once.
+     * Updates the candidacy of this VM; the group learns of it at once.
      *
-     * <p>A VM that the store turns away tells the others too that it hears no controller: it is
-     * dropped from the group, so it gets no heartbeats, while the controller is well in reach.
+     * <p>A VM that the store rejects also notifies the others that it hears no controller: it has
+     * been dropped from the group and so receives no heartbeats, although it can reach the
+     * controller.
      *
      * @param controls whether this VM controls the cell
-     * @param able whether it knows all that a controller has to know
+     * @param able whether it knows everything that a controller needs
      * @return true when the members of the group should be read
      */
     boolean update(boolean controls, boolean able, ClockReading clock, List<MemberAction> actions) {
@@ -82,32 +86,32 @@
         long nowMs = clock.monotonicMs();
         long silentMs =
                 mMembership.silentMs(mPendingJobs.lastHeardMs(), mTiming.lostAfterMs(), clock);
-        boolean cutOff = mMembership.leaseExpired(clock);
-        boolean tells = mCandidacy.shouldSendNotice(silentMs, nowMs);
-        if (tells) {
+        boolean leaseExpired = mMembership.leaseExpired(clock);
+        boolean notifies = mCandidacy.shouldSendNotice(silentMs, nowMs);
+        if (notifies) {
             sendNotices(actions);
         }
-        boolean asked = mCandidacy.isCandidate();
-        if (cutOff || !able || !knowsPeers(nowMs) || mMembership.recentlyJoined(clock)) {
+        boolean wasCandidate = mCandidacy.isCandidate();
+        if (leaseExpired || !able || !knowsPeers(nowMs) || mMembership.recentlyJoined(clock)) {
             mCandidacy.end();
         } else {
             mCandidacy.update(silentMs, mSelf, mStrength, mFollowers.peers(), nowMs);
         }
-        if (mCandidacy.isCandidate() != asked) {
-            String outcome = asked ? "asks no more" : "asks for the cell";
+        if (mCandidacy.isCandidate() != wasCandidate) {
+            String outcome = wasCandidate ? "ends its candidacy" : "becomes a candidate";
             log("silent_ms=" + silentMs + " strength=" + mStrength, outcome, actions);
         }
         if (mCandidacy.shouldJoin(nowMs)) {
             actions.add(new MemberAction.Rejoin());
         }
-        return tells && !cutOff;
+        return notifies && !leaseExpired;
     }
 
     /**
-     * Guards against a newcomer that takes its own ignorance for the loss of a controller. Nobody
-     * knows it yet, so it hears no heartbeat; with nobody known to it, it was most of all VMs by
-     * itself, asked for each cell, was dealt it, and deposed a controller in good health. It showed
-     * while the store was slow, since who is in the group is read from there.
+     * Guards against a new VM that takes its lack of information for the loss of the controller. No
+     * other VM knows it yet, so it receives no heartbeats. As it knew no other VM, it was a
+     * majority by itself, requested every cell, was assigned it, and deposed a healthy controller.
+     * This happened while the store was slow, since the members of the group are read from there.
      */
     private boolean knowsPeers(long nowMs) {
         OptionalLong forMs = mFollowers.knownForMs(nowMs);
--- a/core/src/main/java/org/boragegap/core/cell/Followers.java
+++ b/core/src/main/java/org/boragegap/core/cell/Followers.java
@@ -12,19 +12,19 @@
 import org.boragegap.core.ClockReading;
 
 /**
- * The other entry VMs, and which of them follow this controller although they can't reach the store
- * either.
+ * The other entry VMs, and their endorsements of this controller. A follower that can't reach the
+ * store endorses the controller, so that it may act without the store.
  *
- * <p>Each such answer extends the controller's authority for a lease, counted from the heartbeat
- * that it answers, by the controller's own clock. So a follower knows when its last word is over: a
- * lease after it was given, however long the answer was on its way.
+ * <p>Each endorsement extends the controller's authority for one lease, counted on the controller's
+ * clock from the heartbeat that was answered. So a follower knows when its last endorsement has
+ * expired, however long the answer took to arrive: one lease after it was given.
  */
 final class Followers {
     /**
-     * How long a VM that the group lists no longer still counts as one of all, in ms. Guards
-     * against a cut that leaves the controller with half of the VMs while one of the others
-     * restarts: by the list alone its side were most of all, and it went on beside the controller
-     * that the store has dealt the cell to meanwhile.
+     * How long a VM that the group no longer lists still counts towards the majority, in ms. Guards
+     * against a partition that leaves half of the VMs with the controller while one of the other
+     * half restarts: by the list alone its side was a majority, and it acted besides the controller
+     * to which the store had assigned the cell meanwhile.
      */
     private static final long DELISTED_COUNTS_MS = 10_000;
 
@@ -38,14 +38,17 @@
         return mPeers;
     }
 
-    /** For how long this VM has known who is in the group, in ms; empty if it doesn't yet. */
+    /**
+     * Time for which this VM has known the members of the group, in ms; empty if it doesn't know
+     * them yet.
+     */
     OptionalLong knownForMs(long nowMs) {
         return mFirstListedMs.isEmpty()
                 ? OptionalLong.empty()
                 : OptionalLong.of(nowMs - mFirstListedMs.getAsLong());
     }
 
-    /** The group's members were read. */
+    /** Replaces the peers by the members of the group that were read. */
     void updatePeers(Set<String> peers, long nowMs) {
         if (mFirstListedMs.isEmpty()) {
             mFirstListedMs = OptionalLong.of(nowMs);
@@ -57,8 +60,8 @@
     }
 
     /**
-     * Takes a VM that the list of members doesn't name yet for one: it would hear no heartbeat
-     * until the list is read again, and ask for the cell meanwhile.
+     * Adds a VM that the list of members doesn't contain yet. Without it, that VM would receive no
+     * heartbeat until the list is read again, and become a candidate for the cell meanwhile.
      */
     void addPeer(String peer, long nowMs) {
         if (!mPeers.contains(peer)) {
@@ -70,13 +73,14 @@
     }
 
     /**
-     * A follower has answered a heartbeat.
+     * Records the answer of a follower to a heartbeat.
      *
-     * @param cutOff true when it can't reach the store; what it said before stands for its lease
+     * @param storeSilent true when the follower can't reach the store; otherwise its earlier
+     *     endorsement remains valid for its lease
      * @param heartbeat when that heartbeat was sent
      */
-    void answered(String peer, boolean cutOff, ClockReading heartbeat) {
-        if (cutOff) {
+    void answered(String peer, boolean storeSilent, ClockReading heartbeat) {
+        if (storeSilent) {
             mEndorsements.merge(peer, heartbeat, Followers::later);
         }
     }
@@ -86,10 +90,9 @@
     }
 
     /**
-     * The last heartbeat that most VMs, this one counted as one of them, have answered as followers
-     * that are cut off from the store.
+     * The latest heartbeat that a majority of all VMs, including this one, has endorsed.
      *
-     * @param now the clock; a VM that is alone vouches for itself
+     * @param now the clock; a VM without peers endorses itself
      */
     Optional<ClockReading> endorsed(ClockReading now) {
         Set<String> all = new HashSet<>(mLastListedMs.keySet());
@@ -98,11 +101,11 @@
         if (needed == 0) {
             return Optional.of(now);
         }
-        List<ClockReading> answers = new ArrayList<>(mEndorsements.values());
-        if (answers.size() < needed) {
+        List<ClockReading> endorsements = new ArrayList<>(mEndorsements.values());
+        if (endorsements.size() < needed) {
             return Optional.empty();
         }
-        answers.sort(Comparator.comparingLong(ClockReading::monotonicMs).reversed());
-        return Optional.of(answers.get(needed - 1));
+        endorsements.sort(Comparator.comparingLong(ClockReading::monotonicMs).reversed());
+        return Optional.of(endorsements.get(needed - 1));
     }
 }
--- a/core/src/main/java/org/boragegap/core/cell/HeartbeatSchedule.java
+++ b/core/src/main/java/org/boragegap/core/cell/HeartbeatSchedule.java
@@ -1,22 +1,22 @@
 package org.boragegap.core.cell;
 
 /**
- * When a controller's next heartbeat is due, by the size of the deployment and its own hold-ups.
+ * Decides when a controller's next heartbeat is due, by the size of the deployment and its own
+ * stalls.
  */
 final class HeartbeatSchedule {
     /**
-     * Least time between two heartbeats while a controller waits for answers of the others before
-     * it may start tasks, in ms. Each answer may be the one that settles the term, and callers wait
-     * for it.
+     * Minimum time between two heartbeats while a controller waits for replies of the others before
+     * it may start tasks, in ms. Callers wait meanwhile, and each reply may be the last one needed.
      */
     private static final long MIN_UNSETTLED_PERIOD_MS = 40;
 
-    /** While it waits, heartbeats come this many times as often. */
+    /** While it waits, heartbeats are this many times as frequent. */
     private static final int UNSETTLED_RATE_FACTOR = 4;
 
     /**
-     * Being held up for this long, in ms, halves what a VM's processor counts for: more than a
-     * pause of the garbage collector, less than a silence that counts.
+     * A stall of this length, in ms, halves the strength of a VM: longer than a pause of the
+     * garbage collector, shorter than a silence that counts.
      */
     private static final long STALL_HALVING_MS = 200;
 
@@ -34,9 +34,9 @@
     }
 
     /**
-     * Time has passed; returns for how long this VM was held up since the last tick, in ms.
+     * Records a tick; returns how long this VM was stalled since the last one, in ms.
      *
-     * @param plannedMs time between two ticks of a VM that is idle, in ms
+     * @param plannedMs planned time between two ticks of an idle VM, in ms
      */
     long recordTick(long nowMs, long plannedMs) {
         return mStalls.recordTick(nowMs, plannedMs);
@@ -47,26 +47,29 @@
     }
 
     /**
-     * True when the next one is due.
+     * True when the next heartbeat is due.
      *
-     * @param settled whether all is known that the controller waits for
-     * @param peers how many other VMs there are
+     * @param predecessorsKnown whether the controller has all the replies that it needs
+     * @param peers number of other VMs
      */
-    boolean isDue(boolean settled, int peers, long nowMs) {
+    boolean isDue(boolean predecessorsKnown, int peers, long nowMs) {
         long periodMs = periodMs(peers);
         long waitMs =
-                settled
+                predecessorsKnown
                         ? periodMs
                         : Math.max(MIN_UNSETTLED_PERIOD_MS, periodMs / UNSETTLED_RATE_FACTOR);
         return nowMs - mSentMs >= waitMs;
     }
 
-    /** Time from one to the next, as a settled controller promises it, in ms. */
+    /**
+     * Time between two heartbeats, in ms, as a controller that need not wait for replies announces
+     * it.
+     */
     long periodMs(int peers) {
         return HeartbeatTiming.periodMs(mCells, peers, mCpuMillis, mStalls.longestStallMs());
     }
 
-    /** What a VM's processor counts for, less the more it is held up by its own work. */
+    /** Processor that a VM has for the cell, reduced by its recent stalls. */
     int strength(int strength) {
         return (int) (strength * STALL_HALVING_MS / (STALL_HALVING_MS + mStalls.longestStallMs()));
     }
--- a/core/src/main/java/org/boragegap/core/cell/MemberAction.java
+++ b/core/src/main/java/org/boragegap/core/cell/MemberAction.java
@@ -1,6 +1,6 @@
 package org.boragegap.core.cell;
 
-/** What an entry VM wants done, as a member of the group that runs a cell. */
+/** Actions that an entry VM requests as a member of the group that runs a cell. */
 public sealed interface MemberAction {
 
     /**
@@ -12,7 +12,7 @@
     record Send(String address, CellMessage message) implements MemberAction {}
 
     /**
-     * Give an order to a target.
+     * Send an order to a target.
      *
      * @param order a lease, a start or a stop
      */
@@ -26,22 +26,22 @@
     record Reply(EntryAction.Reply reply) implements MemberAction {}
 
     /**
-     * Begin or end to follow the platform's list of targets.
+     * Start or stop watching the platform's list of targets.
      *
-     * @param watch true to begin
+     * @param watch true to start
      */
     record WatchTargets(boolean watch) implements MemberAction {}
 
-    /** Read at once who is in the group. */
+    /** Read the members of the group at once. */
     record ReadMembers() implements MemberAction {}
 
-    /** Join the group again at once, so that the store can go on dealing. */
+    /** Join the group again at once, so that the store can continue its rebalance. */
     record Rejoin() implements MemberAction {}
 
     /**
-     * One line for the log.
+     * Write a line to the log.
      *
-     * @param decision what was decided and by which inputs
+     * @param decision the decision and its inputs
      */
     record Log(Decision decision) implements MemberAction {}
 }
--- a/core/src/main/java/org/boragegap/core/cell/Membership.java
+++ b/core/src/main/java/org/boragegap/core/cell/Membership.java
@@ -4,29 +4,33 @@
 import org.boragegap.core.ClockReading;
 
 /**
- * Whether this VM controls the cell, as the group of the platform's store has it.
+ * Whether this VM controls the cell, according to the group in the platform's store.
  *
- * <p>The store deals the cell to one member of the group. A member that was not heard of for the
- * lease is dropped, so a VM whose renewals fail must take it that another one controls the cell by
- * then. It may go on only while most other entry VMs follow it and can't join either: the store is
- * away for all then, nobody else can be given the cell, and the tasks at work go on.
+ * <p>The store assigns the cell to one member of the group. A member that was not heard for a lease
+ * is dropped, so a VM whose renewals fail must assume that another VM controls the cell by then. It
+ * may continue only while a majority of entry VMs follows it and can't join either: then the store
+ * is unavailable to all, no other VM can be assigned the cell, and running tasks continue.
  */
 public final class Membership {
-    /** Terms that one VM can begin under one generation of the group. */
+    /** Number of terms that one VM can begin under one generation of the group. */
     private static final long TERMS_PER_GENERATION = 1_000;
 
-    /** Difference between two clocks that counts as a pause, in ms; scheduling delays are less. */
+    /**
+     * Difference between the advance of two clocks that counts as a pause, in ms; scheduling delays
+     * are shorter.
+     */
     private static final long PAUSE_THRESHOLD_MS = 200;
 
     /**
-     * How long a VM listens for a controller before it asks for the cell, in ms: some hops, on
-     * processes that have just started and run their code for the first time. After a loss of all
-     * VMs it costs callers nothing, since leases of before last longer. One that hears none for
-     * another cause is kept from asking by the others; see Candidacy.
+     * How long a VM listens for a controller before it may become a candidate, in ms: some network
+     * delays, in processes that have just started and run their code for the first time. After a
+     * loss of all VMs this delays no caller, since earlier leases last longer. A VM that hears no
+     * controller for another reason is kept from becoming a candidate by the majority rule; see
+     * {@link Candidacy}.
      */
     private static final long LISTEN_MS = 250;
 
-    /** Allows for clocks that run at slightly different rates, and for scheduling, in ms. */
+    /** Allowance for clocks that run at slightly different rates, and for scheduling, in ms. */
     private static final long OUTAGE_MARGIN_MS = 50;
 
     private final long mLeaseMs;
@@ -37,10 +41,10 @@
     /** When the last join was sent that the store has answered, whoever holds the cell. */
     private ClockReading mLastRenewal;
 
-    /** The same of the last join whose answer named this VM as the holder. */
+    /** When the last join was sent whose answer named this VM as the holder. */
     private Optional<ClockReading> mLastHeldRenewal = Optional.empty();
 
-    /** The last heartbeat for which most VMs have vouched; its lease runs out by itself. */
+    /** The last heartbeat that a majority has endorsed; its lease expires by itself. */
     private Optional<ClockReading> mQuorumHeartbeat = Optional.empty();
 
     private long mJoinedMs = -1;
@@ -48,28 +52,28 @@
     private boolean mResigned;
     private boolean mAssignedElsewhere;
 
-    private Membership(long leaseMs, ClockReading began) {
+    private Membership(long leaseMs, ClockReading start) {
         mLeaseMs = leaseMs;
-        mLastRenewal = began;
-        mLastOutageMs = began.monotonicMs();
+        mLastRenewal = start;
+        mLastOutageMs = start.monotonicMs();
     }
 
     /**
-     * Makes a membership that has not joined.
+     * Creates a membership that has not joined.
      *
-     * @param leaseMs what the group grants, in ms
-     * @param began when this process began
+     * @param leaseMs lease that the group grants, in ms
+     * @param start when this process started
      */
-    public static Membership create(long leaseMs, ClockReading began) {
-        return new Membership(leaseMs, began);
+    public static Membership create(long leaseMs, ClockReading start) {
+        return new Membership(leaseMs, start);
     }
 
-    /** Generation to name when joining again; 0 at first. */
+    /** Generation to send with the next join; 0 at first. */
     public long generation() {
         return mGeneration;
     }
 
-    /** Fencing token of the term that has begun; empty while another VM controls the cell. */
+    /** Fencing token of the current term; empty while this VM doesn't control the cell. */
     public Optional<Long> fence() {
         return mFence == 0 ? Optional.empty() : Optional.of(mFence);
     }
@@ -78,17 +82,18 @@
      * Takes the store's answer to a join.
      *
      * <p>An answer that doesn't name this VM as the holder doesn't end its term. Whenever a VM
-     * joins or is dropped the group deals everything anew, and often names the same holder again a
-     * moment later; ended and begun again, the term had to wait for a second until leases of before
-     * were over. If another VM is dealt the cell, its first heartbeat ends this term. One that is
-     * not heard can't do harm: what this VM may do ends a lease after the last answer that named
-     * it, and the other one waits for that.
+     * joins or is dropped the group rebalances, and often names the same holder again a moment
+     * later. When the term was ended and begun again, it had to wait for a second until earlier
+     * leases had expired. If another VM is assigned the cell, its first heartbeat ends this term.
+     * If that VM is not heard it can do no harm: the authority of this VM ends one lease after the
+     * last answer that named it, and the other VM waits for that.
      *
-     * @param generation of the group
-     * @param holds true when the cell is dealt to this VM
+     * @param generation generation of the group
+     * @param holds true when the cell is assigned to this VM
      * @param sent when the join was sent
      * @param now the clock
-     * @return true when the join should be sent again at once, so that the store can go on dealing
+     * @return true when the join should be sent again at once, so that the store can continue its
+     *     rebalance
      */
     public boolean joined(long generation, boolean holds, ClockReading sent, ClockReading now) {
         if (generation < mGeneration) {
@@ -99,16 +104,17 @@
             mTermsOfGeneration = 0;
         }
         mGeneration = generation;
-        // A controller may go on after half a lease without the store; see storeSilent.
-        boolean missed = sent.wallMs() - mLastRenewal.wallMs() > mLeaseMs / 2 || storeSilent(sent);
-        if (mJoinedMs >= 0 && missed) {
+        // A controller may continue after half a lease without the store; see storeSilent.
+        boolean interrupted =
+                sent.wallMs() - mLastRenewal.wallMs() > mLeaseMs / 2 || storeSilent(sent);
+        if (mJoinedMs >= 0 && interrupted) {
             mLastOutageMs = sent.monotonicMs();
         }
         if (mJoinedMs < 0 || leaseExpired(sent)) {
             mJoinedMs = sent.monotonicMs();
         }
         mLastRenewal = sent;
-        // An answer that comes after the lease says nothing of now.
+        // An answer that arrives after the lease doesn't describe the present.
         boolean outdated = now.monotonicMs() - sent.monotonicMs() >= mLeaseMs;
         mAssignedElsewhere = !holds;
         if (holds && !outdated && !mResigned) {
@@ -124,12 +130,15 @@
         }
     }
 
-    /** Until when the word of the others lets this VM act without the store; 0 for never. */
+    /**
+     * Until when the endorsements of others let this VM act without the store, in ms; 0 if they
+     * don't.
+     */
     private long quorumLeaseEndMs(ClockReading clock) {
-        return mQuorumHeartbeat.map(vouched -> leaseEndMs(vouched, clock)).orElse(0L);
+        return mQuorumHeartbeat.map(heartbeat -> leaseEndMs(heartbeat, clock)).orElse(0L);
     }
 
-    /** This VM leaves the group: it takes the cell no more. */
+    /** This VM leaves the group and no longer takes the cell. */
     public void resign() {
         mResigned = true;
         mFence = 0;
@@ -151,15 +160,15 @@
     }
 
     /**
-     * Ends the term if the membership may have lapsed.
+     * Ends the term if the membership may have expired.
      *
-     * @param clock now
-     * @param vouched when this VM sent the last heartbeat that most entry VMs have answered as
-     *     followers that can't join either; empty if there is none
+     * @param clock the current time
+     * @param quorumHeartbeat when this VM sent the last heartbeat that a majority of entry VMs has
+     *     answered as followers that can't join either; empty if there is none
      */
-    public void tick(ClockReading clock, Optional<ClockReading> vouched) {
-        if (vouched.isPresent()) {
-            mQuorumHeartbeat = vouched;
+    public void tick(ClockReading clock, Optional<ClockReading> quorumHeartbeat) {
+        if (quorumHeartbeat.isPresent()) {
+            mQuorumHeartbeat = quorumHeartbeat;
         }
         if (mFence != 0 && clock.monotonicMs() > exclusiveUntilMs(clock)) {
             mFence = 0;
@@ -167,20 +176,23 @@
     }
 
     /**
-     * Until when this VM may take it that nobody else controls the cell, on its monotonic clock.
-     * Leases given to targets must not last longer.
+     * Until when this VM may assume that no other VM controls the cell, on its monotonic clock.
+     * Leases granted to targets must not last longer.
      *
-     * <p>Guards against a process that was paused: its monotonic clock stands still meanwhile, its
-     * lease goes on. A pause shows as a wall clock that has moved further; then nothing is sure
-     * until the group has answered again. A wall clock that was set shows the same and costs one
-     * join.
+     * <p>Guards against a process that was paused: its monotonic clock stands still meanwhile, but
+     * its lease continues. A pause shows as a wall clock that has advanced further; then nothing is
+     * certain until the group has answered again. A wall clock that was set looks the same and
+     * costs one join.
      */
     public long exclusiveUntilMs(ClockReading clock) {
         long heldUntilMs = mLastHeldRenewal.map(held -> leaseEndMs(held, clock)).orElse(0L);
         return Math.max(heldUntilMs, quorumLeaseEndMs(clock));
     }
 
-    /** End of a lease that began at {@code since}; now, if this VM may have been paused since. */
+    /**
+     * End of a lease that began at {@code since}; the current time if this VM may have been paused
+     * since.
+     */
     private long leaseEndMs(ClockReading since, ClockReading clock) {
         long passedMs = clock.monotonicMs() - since.monotonicMs();
         long passedOnWallMs = clock.wallMs() - since.wallMs();
@@ -188,36 +200,36 @@
         return paused ? clock.monotonicMs() : since.monotonicMs() + mLeaseMs;
     }
 
-    /** This VM has told a controller to go on without the store. */
+    /** Records that this VM has endorsed a controller, which may then act without the store. */
     public void endorsedController(ClockReading clock) {
         mLastOutageMs = clock.monotonicMs();
     }
 
     /**
-     * True when this VM, for over a lease, was in touch with the store and has told no controller
-     * to go on without it. After an outage of the store an earlier controller may have gone on
-     * until just now. The wall clock counts too: a VM that was paused through the outage has not
-     * seen it on its monotonic clock. Before its first join a process can only have kept a
-     * controller in office by saying so, and its earlier life ended before this one began: what
-     * that one said is over a lease after.
+     * True when this VM has been in touch with the store for more than a lease, and has endorsed no
+     * controller in that time. After an outage of the store an earlier controller may have acted
+     * until just now. The wall clock counts too: a VM that was paused during the outage has not
+     * seen it on its monotonic clock. Before its first join a process can have let a controller act
+     * without the store only by an endorsement. Its earlier incarnation ended before this process
+     * started, and the endorsements of that one expire a lease later.
      */
     public boolean sawNoOutage(ClockReading clock) {
         return clock.monotonicMs() - mLastOutageMs > mLeaseMs + OUTAGE_MARGIN_MS;
     }
 
     /**
-     * True shortly after the first join, or the first after a time without the store: this VM has
-     * not had the time to hear of a controller.
+     * True shortly after the first join, or the first one after a time without the store: this VM
+     * has not had time to hear a controller.
      */
     public boolean recentlyJoined(ClockReading clock) {
         return mJoinedMs < 0 || clock.monotonicMs() - mJoinedMs < LISTEN_MS;
     }
 
     /**
-     * How long no controller was heard of, in ms. A VM that has just come, and has listened, counts
-     * as one that has missed the controller for long enough to ask for the cell.
+     * How long no controller was heard, in ms. A VM that has just joined, and has listened, counts
+     * as one that has missed the controller for long enough to become a candidate.
      *
-     * @param heardMs when one was last heard of
+     * @param heardMs when one was last heard
      * @param lostMs silence after which a controller counts as lost, in ms
      */
     long silentMs(Optional<Long> heardMs, long lostMs, ClockReading clock) {
@@ -226,9 +238,9 @@
     }
 
     /**
-     * True when no join was answered for half a lease. All VMs lose the store at one moment, and
-     * each renews at moments of its own: the controller must learn that the others are cut off too
-     * before its own lease is over.
+     * True when no join was answered for half a lease. All VMs lose the store at the same moment,
+     * but each renews at its own times: the controller must learn before its own lease expires that
+     * the others can't reach the store either.
      */
     public boolean storeSilent(ClockReading clock) {
         return clock.monotonicMs() - mLastRenewal.monotonicMs() > mLeaseMs / 2;
--- a/core/src/main/java/org/boragegap/core/cell/Predecessors.java
+++ b/core/src/main/java/org/boragegap/core/cell/Predecessors.java
@@ -7,38 +7,37 @@
 import java.util.Set;
 
 /**
- * What a new controller learns of the controllers before it: whether their tasks may still be at
- * work.
+ * What a new controller knows about earlier controllers: whether their tasks may still be running.
  *
- * <p>A controller that fell silent is dropped by the group, and its leases end with its membership;
- * so only those in the group count, and they are asked. After an outage of the store that is not
- * so: a controller may have gone on without the store until just now.
+ * <p>A controller that stopped sending is dropped from the group, and its leases expire with its
+ * membership. So only the members of the group matter, and they are asked. After an outage of the
+ * store this doesn't hold: a controller may have acted without the store until just now.
  */
 final class Predecessors {
     /**
-     * After this many ms a lease that an earlier controller gave is over: a second, on a clock that
-     * is 2% slow, and as much again for what may be under way.
+     * Time after which a lease granted by an earlier controller has expired, in ms: a second, on a
+     * clock that is 2% slow, and as much again for messages in flight.
      */
     private static final long LEASE_EXPIRED_AFTER_MS = 1_100;
 
-    /** What is known. */
+    /** State of the knowledge. */
     enum Knowledge {
-        /** Not all entry VMs in the group have answered yet. */
+        /** Not all entry VMs in the group have replied yet. */
         AWAITS_ANSWERS,
 
-        /** Most entry VMs can't say that no controller has gone on without the store. */
+        /** No majority of entry VMs can rule out that a controller has acted without the store. */
         STORE_WAS_AWAY,
 
-        /** A controller has just ended whose list of targets isn't known. */
+        /** A controller has just ended its term, and its list of targets isn't known. */
         TARGETS_UNKNOWN,
 
-        /** The last controller's list of targets is known: they tell what is at work. */
+        /** The last controller's list of targets is known; their reports tell what is running. */
         TARGETS_KNOWN,
 
-        /** All leases of earlier controllers are over. */
+        /** All leases of earlier controllers have expired. */
         OVER;
 
-        /** True when nothing more has to be learnt from entry VMs. */
+        /** True when no further replies of entry VMs are needed. */
         boolean isSufficient() {
             return this == TARGETS_KNOWN || this == OVER;
         }
@@ -48,20 +47,21 @@
     private long mInheritedFence;
     private long mTermBeganMs;
 
-    /** Who was in the group when its members were first read in this term; empty before. */
+    /** Members of the group when they were first read in this term; empty before. */
     private Optional<Set<String>> mFirstMembers = Optional.empty();
 
     private Knowledge mKnown = Knowledge.AWAITS_ANSWERS;
 
-    /** Fencing token of this VM's own last term, and when that ended. */
+    /** Fencing token of this VM's own last term; 0 if it had none. */
     private long mLastOwnFence;
 
     private long mLastOwnTermEndedMs;
 
     /**
-     * A term begins.
+     * Begins a term.
      *
-     * @param inheritedFence token of the term whose targets this one has taken over; 0 for none
+     * @param inheritedFence fencing token of the term whose list of targets this term takes over; 0
+     *     for none
      */
     void termBegan(long inheritedFence, long nowMs) {
         mTermBeganMs = nowMs;
@@ -85,18 +85,18 @@
         return nowMs - mLastOwnTermEndedMs;
     }
 
-    /** True when no lease of this VM's own last term can still last. */
+    /** True when no lease of this VM's own last term can still be valid. */
     boolean ownLeasesExpired(long nowMs) {
         return leasesExpired(mLastOwnFence, lastOwnTermEndedAgoMs(nowMs));
     }
 
     /**
-     * The group's members were read. The first reading that was asked for in this term counts: who
-     * joins later was in the group at no moment of an earlier term, or has been dropped from it
-     * since, and then its leases are over. Were all waited for that come meanwhile, callers would
-     * wait after a loss of all VMs until the slowest of them has started.
+     * Records the members of the group. Only the first read that was requested in this term counts:
+     * a VM that joins later was not in the group during an earlier term, or has been dropped from
+     * it since, and then its leases have expired. If VMs that join meanwhile were also waited for,
+     * callers would wait after a loss of all VMs until the slowest of them has started.
      *
-     * @param askedMs when the store was asked, on the monotonic clock, in ms
+     * @param askedMs when the read was sent to the store, on the monotonic clock, in ms
      */
     void membersListed(Set<String> peers, long askedMs) {
         if (mFirstMembers.isEmpty() && askedMs >= mTermBeganMs) {
@@ -108,33 +108,33 @@
         mAnswered.put(peer, answer);
     }
 
-    /** What is known. */
+    /** The current knowledge. */
     Knowledge known() {
         return mKnown;
     }
 
     /**
-     * Looks whether more is known now; what is enough stays so for the term.
+     * Updates the knowledge; once it is sufficient it remains so for the term.
      *
      * @param peers the other entry VMs in the group
-     * @param steady whether this VM was in touch with the store all the time lately
-     * @return true when something else is known than before
+     * @param sawNoOutage whether this VM itself can rule out a recent outage of the store
+     * @return true when the knowledge has changed
      */
-    boolean update(Set<String> peers, boolean steady, long nowMs) {
+    boolean update(Set<String> peers, boolean sawNoOutage, long nowMs) {
         Knowledge before = mKnown;
         if (!before.isSufficient()) {
-            mKnown = assess(peers, steady, nowMs);
+            mKnown = assess(peers, sawNoOutage, nowMs);
         }
         return mKnown != before;
     }
 
     /**
-     * What is known now.
+     * Assesses what is known now.
      *
      * @param peers the other entry VMs in the group
-     * @param steady whether this VM was in touch with the store all the time lately
+     * @param sawNoOutage whether this VM itself can rule out a recent outage of the store
      */
-    Knowledge assess(Set<String> peers, boolean steady, long nowMs) {
+    Knowledge assess(Set<String> peers, boolean sawNoOutage, long nowMs) {
         if (mFirstMembers.isEmpty()) {
             return Knowledge.AWAITS_ANSWERS;
         }
@@ -145,29 +145,29 @@
         }
         asked.addAll(mAnswered.keySet());
         asked.retainAll(peers);
-        if (!majoritySawNoOutage(asked, steady)) {
+        if (!majoritySawNoOutage(asked, sawNoOutage)) {
             return Knowledge.STORE_WAS_AWAY;
         }
-        boolean over = ownLeasesExpired(nowMs);
-        boolean known = over || mLastOwnFence == mInheritedFence;
+        boolean expired = ownLeasesExpired(nowMs);
+        boolean targetsKnown = expired || mLastOwnFence == mInheritedFence;
         for (String peer : asked) {
             CellMessage.HeartbeatReply answer = mAnswered.get(peer);
-            boolean peerOver = leasesExpired(answer.lastOwnFence(), answer.endedAgoMs());
-            over &= peerOver;
-            known &= peerOver || answer.lastOwnFence() == mInheritedFence;
+            boolean peerExpired = leasesExpired(answer.lastOwnFence(), answer.endedAgoMs());
+            expired &= peerExpired;
+            targetsKnown &= peerExpired || answer.lastOwnFence() == mInheritedFence;
         }
-        if (over) {
+        if (expired) {
             return Knowledge.OVER;
         }
-        return known ? Knowledge.TARGETS_KNOWN : Knowledge.TARGETS_UNKNOWN;
+        return targetsKnown ? Knowledge.TARGETS_KNOWN : Knowledge.TARGETS_UNKNOWN;
     }
 
-    private boolean majoritySawNoOutage(Set<String> peers, boolean self) {
-        int steady = self ? 1 : 0;
+    private boolean majoritySawNoOutage(Set<String> peers, boolean ownSawNoOutage) {
+        int sawNoOutage = ownSawNoOutage ? 1 : 0;
         for (String peer : peers) {
-            steady += mAnswered.get(peer).sawNoOutage() ? 1 : 0;
+            sawNoOutage += mAnswered.get(peer).sawNoOutage() ? 1 : 0;
         }
-        return 2 * steady > peers.size() + 1;
+        return 2 * sawNoOutage > peers.size() + 1;
     }
 
     private static boolean leasesExpired(long fence, long endedAgoMs) {
--- a/core/src/main/java/org/boragegap/core/cell/Term.java
+++ b/core/src/main/java/org/boragegap/core/cell/Term.java
@@ -8,15 +8,17 @@
 import java.util.Optional;
 import java.util.TreeSet;
 
-/** Everything that a controller knows in one term; a later term begins with nothing of it. */
+/** Everything that a controller knows in one term; a later term starts without it. */
 final class Term {
     /**
-     * How long a lost answer is taken for a sign that more will be lost, in ms: with one order in
-     * fifty lost, a cell of thirty targets sees several in that time.
+     * How long a lost answer is taken as a sign that more will be lost, in ms: with one order in
+     * fifty lost, a cell of thirty targets loses several in that time.
      */
     private static final long LOSS_WINDOW_MS = 2_000;
 
-    /** How long the successor of a replaced target may stay out of the platform's list, in ms. */
+    /**
+     * How long the successor of a replaced target may be missing from the platform's list, in ms.
+     */
     private static final long MAX_SUCCESSOR_UNLISTED_MS = 2_500;
 
     private record ExpectedSuccessor(TargetInfo replaced, long sinceMs) {}
@@ -54,13 +56,13 @@
         mStarted = started;
     }
 
-    /** Sets the clock and the list of actions for the event that is handled now. */
+    /** Sets the clock and the list of actions for the event that is being handled. */
     void beginEvent(long nowMs, List<CellAction> actions) {
         mNowMs = nowMs;
         mActions = actions;
     }
 
-    /** Until when nobody else can control the cell. */
+    /** Until when no other VM can control the cell. */
     long exclusiveUntilMs() {
         return mExclusiveUntilMs;
     }
@@ -93,19 +95,19 @@
         return mTargets;
     }
 
-    /** The platform's list of targets was read in this term. */
+    /** Records that the platform's list of targets was read in this term. */
     void targetsListed() {
         mTargetsListed = true;
     }
 
-    /** True when it is known which targets there are, and which of them may be given work. */
+    /** True when it is known which targets exist, and which of them may be given work. */
     boolean areTargetsKnown() {
         return mTargetsListed && mEvacuations.known();
     }
 
     /** Another incarnation has answered at the target's address; the list will name it. */
-    void expectSuccessor(TargetInfo gone) {
-        mExpectedSuccessors.put(gone.address(), new ExpectedSuccessor(gone, mNowMs));
+    void expectSuccessor(TargetInfo replaced) {
+        mExpectedSuccessors.put(replaced.address(), new ExpectedSuccessor(replaced, mNowMs));
     }
 
     /** The list names a new target. */
@@ -113,35 +115,43 @@
         mExpectedSuccessors.remove(info.address());
     }
 
-    /** Targets whose successors have answered and are not listed yet, so not known otherwise. */
+    /**
+     * Replaced targets whose successors have answered but are not listed yet, and so not known
+     * otherwise.
+     */
     List<TargetInfo> replacedTargets() {
         mExpectedSuccessors
                 .values()
-                .removeIf(place -> mNowMs - place.sinceMs() > MAX_SUCCESSOR_UNLISTED_MS);
+                .removeIf(expected -> mNowMs - expected.sinceMs() > MAX_SUCCESSOR_UNLISTED_MS);
         return mExpectedSuccessors.values().stream().map(ExpectedSuccessor::replaced).toList();
     }
 
-    /** Which domains operators want emptied. */
+    /** Failure domains that operators want to be evacuated. */
     Evacuations evacuations() {
         return mEvacuations;
     }
 
-    /** True when the target can take work now, and operators don't want its domain emptied. */
+    /**
+     * True when the target can take work now, and operators don't want its domain to be evacuated.
+     */
     boolean acceptsWork(Target target) {
         return target.schedulable(mNowMs) && mEvacuations.allows(target.info());
     }
 
-    /** Targets that have crashed, by task. */
+    /** Crashed targets, by task. */
     CrashHistory crashes() {
         return mCrashes;
     }
 
-    /** Something of the job has started, or may have. */
+    /** Records that some task of the job has started, or may have. */
     void recordStarted(String job) {
         mStarted.remember(job, mFence, mNowMs);
     }
 
-    /** Fencing token of the last term that knew of a start of the job; empty for none lately. */
+    /**
+     * Fencing token of the last term that knew of a start of the job; empty if there was none
+     * recently.
+     */
     Optional<Long> startedIn(String job) {
         return mStarted.find(job, mNowMs);
     }
@@ -151,17 +161,18 @@
     }
 
     /**
-     * Jobs with tasks that may start, the one that has to start first in front, and those that are
-     * too late already behind all others.
+     * Jobs with tasks that may start, the most urgent one first; jobs that are already late follow
+     * all others.
      */
     TreeSet<CellJob> waiting() {
         return mWaiting;
     }
 
     /**
-     * Puts jobs that can't meet their objective any more behind those that can. After a change of
-     * the controller all that waited comes at once, much of it late; in front, it took the targets
-     * for over a second, and callers who came meanwhile were refused or late as well.
+     * Moves jobs that can no longer meet their objective behind those that can. After a change of
+     * the controller all waiting jobs arrive at once, many of them late. When these came first,
+     * they occupied the targets for over a second, and callers that arrived meanwhile were refused
+     * or late as well.
      */
     void demoteLateJobs() {
         while (!mWaiting.isEmpty()) {
@@ -175,17 +186,17 @@
         }
     }
 
-    /** A target that answers has left an order unanswered. */
+    /** Records that a responsive target has left an order unanswered. */
     void recordLostAnswer() {
         mAnswerLostMs = mNowMs;
     }
 
-    /** True when answers of targets were lost lately. */
+    /** True when answers of targets were lost recently. */
     boolean hasRecentLosses() {
         return mNowMs - mAnswerLostMs < LOSS_WINDOW_MS;
     }
 
-    /** A target has reported something at work in this term. */
+    /** Records that a target has reported a run in this term. */
     void recordRunSeen() {
         mRunSeen = true;
     }
