--- a/core/src/main/java/org/boragegap/core/cell/CellMember.java
+++ b/core/src/main/java/org/boragegap/core/cell/CellMember.java
@@ -428,7 +428,7 @@
      */
     private void sendMissedTargets(String peer, CellMessage.HeartbeatReply reply) {
         mTargets.ifNewerThan(reply.fence(), reply.targetsVersion())
-                .ifPresent(told -> mActions.add(new MemberAction.Send(peer, told)));
+                .ifPresent(list -> mActions.add(new MemberAction.Send(peer, list)));
     }
 
     private boolean isLaterTerm(long fence) {
@@ -455,8 +455,8 @@
             deliver(
                     answer.entryVm(),
                     new CellMessage.Decided(answer.job(), answer.number(), answer.verdict()));
-        } else if (action instanceof CellAction.BroadcastTargets told) {
-            broadcastTargets(told.targets());
+        } else if (action instanceof CellAction.BroadcastTargets list) {
+            broadcastTargets(list.targets());
         } else if (action instanceof CellAction.BroadcastCrash crash) {
             broadcast(new CellMessage.Crashed(crash.task(), crash.target(), crash.evidence()));
         } else if (action instanceof CellAction.Deposed) {
--- a/core/src/main/java/org/boragegap/core/cell/CellMessage.java
+++ b/core/src/main/java/org/boragegap/core/cell/CellMessage.java
@@ -14,7 +14,7 @@
      * @param request the job
      * @param ageMs time since the caller submitted it, in ms
      * @param budgetMs total time that the caller waits, in ms
-     * @param controllers number of controllers to which it has been offered, including this one
+     * @param controllers number of controllers to which it has been offered, from 1
      * @param number rises with each offer of the sender, also across its restarts; the verdict
      *     repeats it
      */
--- a/core/src/test/java/org/boragegap/core/cell/CellHistoriesProperties.java
+++ b/core/src/test/java/org/boragegap/core/cell/CellHistoriesProperties.java
@@ -10,13 +10,13 @@
 import net.jqwik.api.Property;
 
 /**
- * Jobs are handed in at any entry VM while VMs are killed, frozen and cut off, orders are lost or
- * late, and the store goes away. What callers and targets see must hold in every history: no task
- * runs twice at a time, no target is over its room, a refused job has not run, a completed one is
- * done.
+ * Jobs are submitted at any entry VM while VMs are killed, paused and disconnected, orders are lost
+ * or delayed, and the store is unavailable. In every history the guarantees to callers and targets
+ * must hold: no task runs twice at a time, no target exceeds its capacity, a refused job has not
+ * run, a completed one is done.
  */
 final class CellHistoriesProperties {
-    /** Jobs that a history without failures would finish are about 140; few are lost on average. */
+    /** A history without failures finishes about 140 jobs; few are lost on average. */
     private static final int MIN_FINISHED_JOBS = 40;
 
     private static final long ALL_HAVE_STARTED_MS = 1_500;
@@ -36,9 +36,9 @@
     }
 
     /**
-     * The store is slow while everything else goes wrong. VMs that took it for silent kept replaced
-     * controllers in office by their word; one that no longer does so must not start what another
-     * one still runs.
+     * The store is slow while all other failures occur. VMs that took the slow store for an outage
+     * endorsed controllers that had been replaced. A VM that no longer does so must not start what
+     * another controller still runs.
      */
     @Property(tries = 2_000, seed = "12")
     void guaranteesHoldWhileTheStoreIsSlow(@ForAll long seed) {
@@ -46,25 +46,26 @@
     }
 
     /**
-     * Operators empty failure domains and take them back, and targets' room shrinks and grows,
-     * while everything else goes wrong: nothing is started in an emptied domain from the platform's
-     * bound on, and no target gets more than the room that counts.
+     * Operators evacuate failure domains and cancel evacuations, and the capacity of targets
+     * shrinks and grows, while all other failures occur: nothing is started in an evacuated domain
+     * once the platform's time limit has passed, and no target gets more than the capacity that is
+     * in effect.
      */
     @Property(tries = 2_000, seed = "13")
     void evacuationsAndCapacitiesAreRespected(@ForAll long seed) {
         assertHolds(seed, CellHistory::playEvacuationsAndResizes);
     }
 
-    /** On a calm day an evacuation is heeded within 300 ms of the store's confirmation. */
+    /** Without failures, an evacuation takes effect within 300 ms of the store's confirmation. */
     @Property(tries = 300, seed = "14")
     void evacuationsAreAppliedPromptlyWithoutFaults(@ForAll long seed) {
         assertHolds(seed, CellHistory::playEvacuationsWithoutFaults);
     }
 
     /**
-     * VMs start while the controller is well and the store is slow. A newcomer has heard of no
-     * controller and doesn't know who else there is; taking that for a loss it asked for the cell,
-     * was dealt it, and deposed a controller in good health: callers waited for up to 4 s.
+     * VMs start while the controller is healthy and the store is slow. A new VM has heard no
+     * controller and doesn't know the other VMs. It took that for a loss, requested the cell, was
+     * assigned it, and deposed a healthy controller: callers waited for up to 4 s.
      */
     @Property(tries = 2_000, seed = "15")
     void newVmsDeposeNoController(@ForAll long seed) {
@@ -76,19 +77,19 @@
                 .isEqualTo(0);
     }
 
-    /** Guards against a job that is shown as failed though none of its tasks has failed. */
+    /** Guards against a job that is reported as failed although none of its tasks has failed. */
     @Property(tries = 2_000, seed = "16")
     void noSoundJobFailsWhenTargetsCrashTogether(@ForAll long seed) {
         assertHolds(seed, CellHistory::playMassCrashes);
     }
 
     /**
-     * Seeds that once broke a promise, each by a cause of its own: a refusal by a later term of the
-     * same VM; a job handed in again beside a run on a target out of reach, twice; a VM that had
-     * been paused through an outage of the store took it that there had been none; and one that had
-     * seen an outage of less than a lease; and a target whose first answer came after the timeout,
-     * so that its lease counted as over before it was ever extended. Failures of further kinds were
-     * added later, so these seeds no longer play the very events of then.
+     * Seeds that once violated a guarantee, each for a reason of its own: a refusal by a later term
+     * of the same VM; a job submitted again beside a run on an unreachable target, twice; a VM that
+     * was paused during an outage of the store assumed that there had been none; and so did one
+     * that had seen an outage of less than a lease; and a target whose first answer came after the
+     * timeout, so that its lease counted as expired before it was ever extended. Further kinds of
+     * failures were added later, so these seeds no longer produce the original events.
      */
     @Example
     void guaranteesHoldForSeedsThatOnceFailed() {
@@ -109,31 +110,32 @@
     }
 
     /**
-     * Nothing serves callers on VMs with an eighth of a core: held up by their own work for longer
-     * than three heartbeats, they take the controller for lost and ask for its cell; each change of
-     * hands costs messages, which slow them more. Without a real loss the cell has to stay, but for
-     * a term that its own VM renews when it was held up beyond its lease.
+     * Guards against VMs with an eighth of a core that serve no callers: stalled by their own work
+     * for longer than three heartbeats, they take the controller for lost and request its cell, and
+     * each change of the controller costs messages that slow them further. Without a real loss the
+     * cell must not move, except for a term that its own VM begins again after a stall that was
+     * longer than its lease.
      */
     @Example
     void slowVmsKeepTheirController() {
-        int hands = 0;
+        int changes = 0;
         int finished = 0;
         for (int seed = 1; seed <= AVERAGED_SEEDS; seed++) {
             CellHistory history = assertHolds(seed, CellHistory::playSlowVms);
-            hands += history.terms().controllerChanges();
+            changes += history.terms().controllerChanges();
             finished += history.finished();
         }
         System.out.printf(
-                "slow VMs: changes of hands on average %.2f, jobs done %d%n",
-                (double) hands / AVERAGED_SEEDS, finished / AVERAGED_SEEDS);
-        assertThat((double) hands / AVERAGED_SEEDS).isAtMost(MAX_CHANGES_ON_SLOW_VMS);
+                "slow VMs: changes of the controller on average %.2f, jobs done %d%n",
+                (double) changes / AVERAGED_SEEDS, finished / AVERAGED_SEEDS);
+        assertThat((double) changes / AVERAGED_SEEDS).isAtMost(MAX_CHANGES_ON_SLOW_VMS);
         assertThat(finished / AVERAGED_SEEDS).isAtLeast(MIN_FINISHED_JOBS);
     }
 
     /**
      * VMs are stopped and started in turn; callers are refused for a moment at each move of the
-     * cell. It has to move only when its controller stops: four VMs, so at most five terms, one
-     * more where the group deals anew before the other candidate has fallen silent.
+     * cell. It has to move only when its controller stops: with four VMs at most five terms, and
+     * one more where the group rebalances before the other candidate has ended its candidacy.
      */
     @Example
     void aRollingRestartMovesTheCellAtMostOncePerVm() {
--- a/core/src/test/java/org/boragegap/core/cell/CellHistory.java
+++ b/core/src/test/java/org/boragegap/core/cell/CellHistory.java
@@ -8,8 +8,8 @@
 import org.boragegap.core.ClockReading;
 
 /**
- * One seeded history of a cell: four entry VMs, five targets, the store's group, callers that come
- * again, and failures at random moments. Everything runs on one simulated clock.
+ * A seeded history of a cell: four entry VMs, five targets, the store's group, callers that submit
+ * again, and failures at random times. Everything runs on one simulated clock.
  */
 final class CellHistory {
     static final long RESEND_MS = 1_300;
@@ -45,7 +45,7 @@
         this(seed, line -> {});
     }
 
-    /** Makes a history that tells what its entry VMs log and which failures it brings. */
+    /** Creates a history that traces the log lines of its entry VMs and the injected failures. */
     CellHistory(long seed, Consumer<String> trace) {
         mTrace = trace;
         mRandom = new SplittableRandom(seed);
@@ -60,13 +60,13 @@
         }
     }
 
-    /** Plays the usual failures while the store takes up to 340 ms for each answer. */
+    /** Simulates the usual failures while the store takes up to 340 ms for each answer. */
     List<String> playSlowStore() {
         mDelays.scheduleSlowStore(mClock);
         return play();
     }
 
-    /** Plays a day on which all VMs are stopped and started in turn, and nothing else happens. */
+    /** Simulates a rolling restart of all VMs without any other failure. */
     List<String> playRollingRestart() {
         scheduleJobs();
         for (int i = 0; i < VMS; i++) {
@@ -77,9 +77,9 @@
     }
 
     /**
-     * Plays a day without a failure on VMs that are all slow: each runs for 10 to 40 ms and is held
-     * up for 50 to 700 ms, by turns. A lease of the group lasts a second and is renewed four times
-     * in it, so a VM that is held up for longer has truly lost it.
+     * Simulates slow VMs without any failure: each alternately runs for 10 to 40 ms and is stalled
+     * for 50 to 700 ms. A lease of the group lasts a second and is renewed four times in it, so a
+     * VM that is stalled for longer has really lost it.
      */
     List<String> playSlowVms() {
         scheduleJobs();
@@ -88,8 +88,8 @@
     }
 
     /**
-     * Plays the usual failures while operators empty domains and take them back, and targets' room
-     * shrinks and grows.
+     * Simulates the usual failures while operators evacuate domains and cancel evacuations, and the
+     * capacity of targets shrinks and grows.
      */
     List<String> playEvacuationsAndResizes() {
         mInvariants.evacuateWithin(EVACUATION_LIMIT_MS);
@@ -101,7 +101,7 @@
         return play();
     }
 
-    /** Plays the usual failures while some targets crash at once, again and again. */
+    /** Simulates the usual failures while several targets crash at once, repeatedly. */
     List<String> playMassCrashes() {
         int waves = 2 + mRandom.nextInt(3);
         for (int i = 0; i < waves; i++) {
@@ -110,7 +110,7 @@
         return play();
     }
 
-    /** Plays evacuations on an otherwise calm day; they are to be heeded soon. */
+    /** Simulates evacuations without failures; they are to take effect soon. */
     List<String> playEvacuationsWithoutFaults() {
         mInvariants.evacuateWithin(EVACUATION_GOAL_MS);
         for (int i = 0; i < 3; i++) {
@@ -122,9 +122,8 @@
     }
 
     /**
-     * Plays a day on which VMs other than the controller are away for so long that nobody counts
-     * them any more, and start again while the store takes up to 340 ms for each answer and deals
-     * the cell anew now and then.
+     * Simulates VMs other than the controller that are down until no VM counts them any more, and
+     * start again while the store takes up to 340 ms for each answer and rebalances now and then.
      */
     List<String> playNewVmsWithSlowStore() {
         mDelays.scheduleSlowStore(mClock);
@@ -144,7 +143,7 @@
         }
     }
 
-    /** Plays the history and returns what it broke. */
+    /** Simulates the usual failures and returns the violations. */
     List<String> play() {
         scheduleJobs();
         int faults = 2 + mRandom.nextInt(6);
@@ -172,7 +171,7 @@
         return mInvariants.completedJobs();
     }
 
-    /** The terms that began. */
+    /** Statistics of the terms that began. */
     TermStatistics terms() {
         return mTerms;
     }
@@ -195,92 +194,97 @@
         vm.mDeferred.clear();
         vm.mCallers.clear();
         vm.mLastEvacuated = null;
-        ClockReading began = clock(vm);
-        vm.mMember = CellMember.create(vm.mAddress, 0, SETTINGS, FakeGroup.LEASE_MS, began);
-        int life = vm.mIncarnation;
-        tick(vm, life);
-        join(vm, life, true);
-        after(JOIN_INTERVAL_MS, () -> pollMembers(vm, life));
-        pollTargets(vm, life);
-        pollOperators(vm, life);
+        ClockReading start = clock(vm);
+        vm.mMember = CellMember.create(vm.mAddress, 0, SETTINGS, FakeGroup.LEASE_MS, start);
+        int incarnation = vm.mIncarnation;
+        tick(vm, incarnation);
+        join(vm, incarnation, true);
+        after(JOIN_INTERVAL_MS, () -> pollMembers(vm, incarnation));
+        pollTargets(vm, incarnation);
+        pollOperators(vm, incarnation);
     }
 
     private ClockReading clock(FakeEntryVm vm) {
         return vm.clock(mClock.nowMs());
     }
 
-    private void inIncarnation(FakeEntryVm vm, int life, Runnable action) {
-        vm.inIncarnation(life, mClock, action);
+    private void inIncarnation(FakeEntryVm vm, int incarnation, Runnable action) {
+        vm.inIncarnation(incarnation, mClock, action);
     }
 
-    private void feed(FakeEntryVm vm, int life, MemberEvent event) {
+    private void feed(FakeEntryVm vm, int incarnation, MemberEvent event) {
         inIncarnation(
                 vm,
-                life,
+                incarnation,
                 () -> {
                     List<MemberAction> actions = new ArrayList<>();
-                    boolean asked = vm.mMember.wantsCell();
+                    boolean wantedCell = vm.mMember.wantsCell();
                     vm.mMember.on(event, clock(vm), actions);
-                    if (!asked && vm.mMember.wantsCell()) {
+                    if (!wantedCell && vm.mMember.wantsCell()) {
                         mTerms.recordCandidacy(mClock.nowMs());
                     }
                     actions.forEach(action -> run(vm, action));
                 });
     }
 
-    private void tick(FakeEntryVm vm, int life) {
-        if (!vm.mAlive || vm.mIncarnation != life) {
+    private void tick(FakeEntryVm vm, int incarnation) {
+        if (!vm.mAlive || vm.mIncarnation != incarnation) {
             return;
         }
-        feed(vm, life, new MemberEvent.Ticked());
-        after(TICK_INTERVAL_MS, () -> inIncarnation(vm, life, () -> tick(vm, life)));
+        feed(vm, incarnation, new MemberEvent.Ticked());
+        after(TICK_INTERVAL_MS, () -> inIncarnation(vm, incarnation, () -> tick(vm, incarnation)));
     }
 
-    private void join(FakeEntryVm vm, int life, boolean again) {
+    private void join(FakeEntryVm vm, int incarnation, boolean again) {
         inIncarnation(
                 vm,
-                life,
+                incarnation,
                 () -> {
                     if (again) {
-                        after(JOIN_INTERVAL_MS, () -> join(vm, life, true));
+                        after(JOIN_INTERVAL_MS, () -> join(vm, incarnation, true));
                     }
                     if (!mStoreDown && !vm.mStoreLost) {
                         ClockReading sent = clock(vm);
-                        boolean asks = vm.mMember.wantsCell();
-                        after(mDelays.storeMs(), () -> joinAtStore(vm, life, asks, sent));
+                        boolean wants = vm.mMember.wantsCell();
+                        after(mDelays.storeMs(), () -> joinAtStore(vm, incarnation, wants, sent));
                     }
                 });
     }
 
-    private void joinAtStore(FakeEntryVm vm, int life, boolean asks, ClockReading sent) {
+    private void joinAtStore(FakeEntryVm vm, int incarnation, boolean wants, ClockReading sent) {
         FakeGroup.Answer answer =
                 mGroup.join(
-                        vm.mAddress + "/" + life, asks, vm.mMember.generation(), mClock.nowMs());
+                        vm.mAddress + "/" + incarnation,
+                        wants,
+                        vm.mMember.generation(),
+                        mClock.nowMs());
         MemberEvent joined = new MemberEvent.Joined(answer.generation(), answer.holds(), sent);
-        after(mDelays.storeMs(), () -> feed(vm, life, joined));
+        after(mDelays.storeMs(), () -> feed(vm, incarnation, joined));
     }
 
-    private void pollMembers(FakeEntryVm vm, int life) {
+    private void pollMembers(FakeEntryVm vm, int incarnation) {
         inIncarnation(
                 vm,
-                life,
+                incarnation,
                 () -> {
-                    after(MEMBERS_POLL_MS, () -> pollMembers(vm, life));
-                    readMembers(vm, life);
+                    after(MEMBERS_POLL_MS, () -> pollMembers(vm, incarnation));
+                    readMembers(vm, incarnation);
                 });
     }
 
-    /** Follows what operators write, one read at a time. */
-    private void pollOperators(FakeEntryVm vm, int life) {
+    /** Polls what operators have written, one read at a time. */
+    private void pollOperators(FakeEntryVm vm, int incarnation) {
         boolean read = !mStoreDown && !vm.mStoreLost;
         inIncarnation(
-                vm, life, () -> after(mDelays.storeMs(), () -> operatorsPolled(vm, life, read)));
+                vm,
+                incarnation,
+                () -> after(mDelays.storeMs(), () -> operatorsPolled(vm, incarnation, read)));
     }
 
-    private void operatorsPolled(FakeEntryVm vm, int life, boolean read) {
+    private void operatorsPolled(FakeEntryVm vm, int incarnation, boolean read) {
         Set<String> domains = mPlatform.evacuatedDomains();
         if (!read || domains.equals(vm.mLastEvacuated)) {
-            after(OPERATORS_POLL_MS, () -> pollOperators(vm, life));
+            after(OPERATORS_POLL_MS, () -> pollOperators(vm, incarnation));
             return;
         }
         vm.mLastEvacuated = domains;
@@ -288,63 +292,63 @@
         after(
                 mDelays.storeMs(),
                 () -> {
-                    feedControl(vm, life, event);
-                    pollOperators(vm, life);
+                    feedControl(vm, incarnation, event);
+                    pollOperators(vm, incarnation);
                 });
     }
 
-    private void readMembers(FakeEntryVm vm, int life) {
+    private void readMembers(FakeEntryVm vm, int incarnation) {
         if (mStoreDown || vm.mStoreLost) {
             return;
         }
-        long askedMs = clock(vm).monotonicMs();
+        long sentMs = clock(vm).monotonicMs();
         after(
                 mDelays.storeMs(),
                 () -> {
-                    Set<String> peers = mGroup.addresses(mClock.nowMs());
-                    peers.remove(vm.mAddress);
+                    Set<String> vms = mGroup.addresses(mClock.nowMs());
+                    vms.remove(vm.mAddress);
                     after(
                             mDelays.storeMs(),
-                            () -> feed(vm, life, new MemberEvent.PeersListed(peers, askedMs)));
+                            () -> feed(vm, incarnation, new MemberEvent.PeersListed(vms, sentMs)));
                 });
     }
 
-    private void pollTargets(FakeEntryVm vm, int life) {
+    private void pollTargets(FakeEntryVm vm, int incarnation) {
         inIncarnation(
                 vm,
-                life,
+                incarnation,
                 () -> {
-                    after(TARGETS_POLL_MS, () -> pollTargets(vm, life));
+                    after(TARGETS_POLL_MS, () -> pollTargets(vm, incarnation));
                     if (!mStoreDown && !vm.mStoreLost && vm.mWatchesTargets) {
-                        after(mDelays.peerMs(), () -> feedTargets(vm, life));
+                        after(mDelays.peerMs(), () -> feedTargets(vm, incarnation));
                     }
                 });
     }
 
-    private void feedTargets(FakeEntryVm vm, int life) {
-        feedControl(vm, life, new CellEvent.TargetsListed(mPlatform.listedTargets()));
+    private void feedTargets(FakeEntryVm vm, int incarnation) {
+        feedControl(vm, incarnation, new CellEvent.TargetsListed(mPlatform.listedTargets()));
     }
 
     private void run(FakeEntryVm vm, MemberAction action) {
-        int life = vm.mIncarnation;
+        int incarnation = vm.mIncarnation;
         if (action instanceof MemberAction.Send send) {
             send(vm, send);
         } else if (action instanceof MemberAction.Order order) {
-            order(vm, life, order.order());
+            order(vm, incarnation, order.order());
         } else if (action instanceof MemberAction.Reply reply) {
             replied(vm, reply.reply());
-        } else if (action instanceof MemberAction.WatchTargets follow) {
-            if (follow.watch()) {
+        } else if (action instanceof MemberAction.WatchTargets watch) {
+            if (watch.watch()) {
                 mTerms.recordTerm(vm.mAddress);
             }
-            vm.mWatchesTargets = follow.watch();
-            if (follow.watch() && !mStoreDown && !vm.mStoreLost) {
-                after(2 * mDelays.peerMs(), () -> feedTargets(vm, life));
+            vm.mWatchesTargets = watch.watch();
+            if (watch.watch() && !mStoreDown && !vm.mStoreLost) {
+                after(2 * mDelays.peerMs(), () -> feedTargets(vm, incarnation));
             }
         } else if (action instanceof MemberAction.ReadMembers) {
-            readMembers(vm, life);
+            readMembers(vm, incarnation);
         } else if (action instanceof MemberAction.Rejoin) {
-            join(vm, life, false);
+            join(vm, incarnation, false);
         } else if (action instanceof MemberAction.Log log) {
             mTrace.accept(mClock.nowMs() + " " + vm.mAddress + " " + log.decision());
         }
@@ -353,30 +357,30 @@
     private void send(FakeEntryVm from, MemberAction.Send send) {
         FakeEntryVm to =
                 mVms.stream().filter(vm -> vm.mAddress.equals(send.address())).findFirst().get();
-        int life = to.mIncarnation;
-        boolean cut =
+        int incarnation = to.mIncarnation;
+        boolean disconnected =
                 from.mDisconnectedFrom.contains(to.mAddress)
                         || to.mDisconnectedFrom.contains(from.mAddress);
-        if (!cut) {
+        if (!disconnected) {
             MemberEvent event = new MemberEvent.Received(from.mAddress, send.message());
             long delayMs =
                     chance(mRates.mLateMessages) ? 300 + mRandom.nextLong(1_500) : mDelays.peerMs();
-            after(delayMs, () -> feed(to, life, event));
+            after(delayMs, () -> feed(to, incarnation, event));
         }
     }
 
     // Orders
 
-    private void order(FakeEntryVm vm, int life, CellAction order) {
-        mOrders.send(order, () -> isDisconnected(vm, order), event -> feedControl(vm, life, event));
+    private void order(FakeEntryVm vm, int incarnation, CellAction order) {
+        mOrders.send(order, () -> isDisconnected(vm, order), e -> feedControl(vm, incarnation, e));
     }
 
     private static boolean isDisconnected(FakeEntryVm vm, CellAction order) {
         return vm.mDisconnectedFrom.contains(Orders.target(order).id());
     }
 
-    private void feedControl(FakeEntryVm vm, int life, CellEvent event) {
-        feed(vm, life, new MemberEvent.ForController(event));
+    private void feedControl(FakeEntryVm vm, int incarnation, CellEvent event) {
+        feed(vm, incarnation, new MemberEvent.ForController(event));
     }
 
     // Callers
@@ -441,34 +445,36 @@
             return;
         }
         vm.mAlive = false;
-        List<JobRequest> broken = new ArrayList<>(vm.mCallers.values());
-        broken.forEach(request -> after(RESEND_MS, () -> submit(request)));
+        List<JobRequest> interrupted = new ArrayList<>(vm.mCallers.values());
+        interrupted.forEach(request -> after(RESEND_MS, () -> submit(request)));
         after(downMs, () -> start(vm));
     }
 
-    /** Gives the cell up, answers what waits, leaves the group when it may, and starts again. */
+    /**
+     * Gives up the cell, answers waiting callers, leaves the group when allowed, and starts again.
+     */
     private void stopAsPlanned(FakeEntryVm vm) {
         if (vm.mAlive && mClock.nowMs() >= vm.mPausedUntilMs) {
-            int life = vm.mIncarnation;
-            feed(vm, life, new MemberEvent.Resigned());
-            after(mRandom.nextLong(MAX_SERVE_ON_MS), () -> close(vm, life));
+            int incarnation = vm.mIncarnation;
+            feed(vm, incarnation, new MemberEvent.Resigned());
+            after(mRandom.nextLong(MAX_SERVE_ON_MS), () -> close(vm, incarnation));
         }
     }
 
-    private void close(FakeEntryVm vm, int life) {
-        feed(vm, life, new MemberEvent.Draining());
-        leaveWhenDrained(vm, life);
+    private void close(FakeEntryVm vm, int incarnation) {
+        feed(vm, incarnation, new MemberEvent.Draining());
+        leaveWhenDrained(vm, incarnation);
     }
 
-    private void leaveWhenDrained(FakeEntryVm vm, int life) {
+    private void leaveWhenDrained(FakeEntryVm vm, int incarnation) {
         inIncarnation(
                 vm,
-                life,
+                incarnation,
                 () -> {
                     boolean drained =
                             vm.mMember.waitingCallers() == 0 && vm.mMember.mayLeave(clock(vm));
                     if (!drained) {
-                        after(TICK_INTERVAL_MS, () -> leaveWhenDrained(vm, life));
+                        after(TICK_INTERVAL_MS, () -> leaveWhenDrained(vm, incarnation));
                         return;
                     }
                     if (!mStoreDown && !vm.mStoreLost) {
--- a/core/src/test/java/org/boragegap/core/cell/CellLayoutTest.java
+++ b/core/src/test/java/org/boragegap/core/cell/CellLayoutTest.java
@@ -10,7 +10,7 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-/** How a deployment is divided into cells. */
+/** Division of a deployment into cells. */
 final class CellLayoutTest {
     @Test
     void aSmallDeploymentIsOneCell() {
@@ -28,8 +28,9 @@
     }
 
     /**
-     * Nobody was served on VMs with an eighth of a core: two cells of 43 targets each asked three
-     * times of their controllers what those had. Smaller cells pool less, but have a controller.
+     * Guards against cells that are too large for VMs with an eighth of a core: two cells of 43
+     * targets each needed three times the processor that their controllers had, and no caller was
+     * served. Smaller cells pool less capacity, but have a working controller.
      */
     @Test
     void weakVmsGetSmallerCells() {
@@ -37,7 +38,7 @@
         assertThat(CellLayout.forDeployment(85, vms).cells()).isEqualTo(10);
     }
 
-    /** Their controllers are held up for longer than a lease of a second by their first load. */
+    /** The first load stalls their controllers for longer than a lease of a second. */
     @Test
     void weakVmsGetALongerLease() {
         assertThat(CellLayout.forDeployment(85, Collections.nCopies(18, 120)).minLeaseMs())
@@ -54,7 +55,7 @@
         assertThat(CellLayout.parse("10 3000")).hasValue(layout);
     }
 
-    /** Some VMs are strong: they control the cells, and these are as large as they can bear. */
+    /** Some VMs are strong: they control the cells, which are as large as these VMs can handle. */
     @Test
     void theStrongestVmsSetTheSizeOfCells() {
         List<Integer> vms = new ArrayList<>(Collections.nCopies(32, 360));
@@ -80,7 +81,9 @@
         }
     }
 
-    /** Jobs come by random ids; a cell that got many more than the others would refuse them. */
+    /**
+     * Jobs have random ids; a cell that got many more of them than the others would refuse them.
+     */
     @Test
     void jobsAreSpreadEvenly() {
         CellLayout layout = CellLayout.ofCells(5);
--- a/core/src/test/java/org/boragegap/core/cell/CellMemberTest.java
+++ b/core/src/test/java/org/boragegap/core/cell/CellMemberTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Nested;
 import org.junit.jupiter.api.Test;
 
-/** What one entry VM says to the others, and when it asks for the cell. */
+/** Messages of one entry VM to the others, and its candidacy for the cell. */
 final class CellMemberTest {
     private static final long LEASE_MS = 1_000;
     private static final long PERIOD_MS = 150;
@@ -55,9 +55,10 @@
     }
 
     /**
-     * VMs are restarted in turn and callers wait a second at each move of the cell. A VM that came
-     * while the list of targets stood was not told it, and the last term's list was never told
-     * under a later term; who had no list waited until all leases were over.
+     * Guards against callers that wait a second at each move of the cell during a rolling restart.
+     * A VM that joined after the list of targets was sent did not receive it, and the list of the
+     * previous term was never sent in a later term; a controller without a list waited until all
+     * leases had expired.
      */
     @Nested
     final class TargetList {
@@ -71,8 +72,8 @@
         void aNewVmIsSentTheList() {
             long fence = beginTerm();
             receive(20, "vm3", heartbeatReply(fence, 0));
-            List<CellMessage.Targets> told = sent("vm3", CellMessage.Targets.class);
-            assertThat(told).containsExactly(new CellMessage.Targets(fence, 1, List.of(TARGET)));
+            List<CellMessage.Targets> lists = sent("vm3", CellMessage.Targets.class);
+            assertThat(lists).containsExactly(new CellMessage.Targets(fence, 1, List.of(TARGET)));
         }
 
         @Test
@@ -106,10 +107,10 @@
         }
     }
 
-    /** The group has dealt it the cell while it no longer asks for it. */
+    /** The group assigns the cell to a VM that is no longer a candidate. */
     @Nested
     final class IsAssignedTheCell {
-        /** A controller in good health would be deposed, and its callers wait for the next term. */
+        /** A healthy controller would be deposed, and its callers would wait for the next term. */
         @Test
         void whileItHearsAnotherController() {
             receive(0, "vm2", new CellMessage.Heartbeat(3_000, SENT, PERIOD_MS));
@@ -117,7 +118,9 @@
             assertThat(mMember.fence()).isEmpty();
         }
 
-        /** It was held up beyond its lease; nobody else has been dealt the cell since. */
+        /**
+         * It was stalled for longer than its lease; no other VM has been assigned the cell since.
+         */
         @Test
         void afterItsOwnTermHasExpired() {
             join(0, 3, true, "vm2");
@@ -131,7 +134,7 @@
 
     /**
      * All VMs start at once, or the controller is lost. Callers see one short gap if one VM takes
-     * the cell; when each VM asks for it, the group deals it anew with every further one.
+     * the cell; when all VMs request it, the group rebalances with every further candidate.
      */
     @Nested
     final class BecomesCandidate {
@@ -172,8 +175,9 @@
         }
 
         /**
-         * Callers are refused twice in a row: two VMs had asked for the cell of one that was lost.
-         * The group dealt it to one, and a moment later, when further leases ended, to the other.
+         * Guards against callers that are refused twice in a row: two VMs requested the cell of one
+         * that was lost. The group assigned it to one of them and, a moment later, when further
+         * leases ended, to the other.
          */
         @Test
         void aCandidateThatHearsAControllerRejoinsAtOnce() {
@@ -186,7 +190,10 @@
             assertThat(mActions).contains(new MemberAction.Rejoin());
         }
 
-        /** Cut off from the others only: nobody else misses the controller that it can't hear. */
+        /**
+         * Disconnected from the other VMs only: no other VM misses the controller that it can't
+         * hear.
+         */
         @Test
         void aVmThatAloneMissesTheControllerIsNoCandidate() {
             stayConnected(0, 3_000, "vm2", "vm3");
@@ -209,7 +216,10 @@
             assertThat(mMember.wantsCell()).isTrue();
         }
 
-        /** A controller stops as planned: the next one asks at once, not after a silence. */
+        /**
+         * A controller stops as planned: the next VM requests the cell at once, not after a
+         * silence.
+         */
         @Test
         void theNextVmIsCandidateAtOnceWhenTheControllerLeaves() {
             mMember.strength(1_000);
@@ -222,9 +232,9 @@
         }
 
         /**
-         * The store turns this VM away and serves the others. It was dropped from the group, so the
+         * The store rejects this VM and serves the others. The VM is dropped from the group, so the
          * controller sends it no heartbeats, and its callers were refused for as long as that
-         * lasted. It tells the others, and the controller answers.
+         * lasted. It notifies the others, and the controller answers.
          */
         @Test
         void aVmRejectedByTheStoreNotifiesTheOthers() {
@@ -240,9 +250,10 @@
         }
 
         /**
-         * Callers are refused though the controller is well: the others took it for lost. They were
-         * held up by their own work for longer than three heartbeats, and on going on saw by the
-         * clock that it had been silent, before they read what had come in meanwhile.
+         * Guards against callers that are refused because VMs take a healthy controller for lost.
+         * The VMs were stalled by their own work for longer than three heartbeats. Afterwards they
+         * saw by the clock that the controller had been silent, before they read the messages that
+         * had arrived meanwhile.
          */
         @Test
         void aStallDoesNotCountAsSilenceOfTheController() {
@@ -254,7 +265,7 @@
             assertThat(mMember.canServeCallers(at(1_900))).isTrue();
         }
 
-        /** The controller has said that it is heard every 400 ms; a second is no silence then. */
+        /** The controller has announced a heartbeat every 400 ms, so a second is no silence. */
         @Test
         void silenceIsMeasuredAgainstTheAnnouncedPeriod() {
             stayConnected(0, 1_000, "vm2", "vm3");
@@ -267,8 +278,9 @@
         }
 
         /**
-         * Callers of a weak controller's own VM were refused every half second: its heartbeats are
-         * 600 ms apart, and it judged itself by the period of stronger ones.
+         * Guards against refusing the callers of a weak controller's own VM every half second: its
+         * heartbeats are 600 ms apart, and it measured its own silence against the period of
+         * stronger VMs.
          */
         @Test
         void aControllerIsNotSilentToItselfBetweenItsHeartbeats() {
@@ -296,7 +308,9 @@
                     .contains(new CellMessage.Heartbeat(fence, at(10), PERIOD_MS));
         }
 
-        /** Its membership lapsed: the others needn't wait until its heartbeats have been missed. */
+        /**
+         * Its membership has expired: the others need not wait until its heartbeats are missing.
+         */
         @Test
         void aControllerAnnouncesThatItsMembershipIsOver() {
             join(0, 3, true, "vm2");
@@ -317,8 +331,8 @@
     }
 
     /**
-     * A VM is stopped as planned. The platform goes on sending it callers for two seconds; they
-     * were refused although the cell had a controller and room.
+     * A VM is stopped as planned. The platform continues to send it callers for two seconds, which
+     * were refused although the cell had a controller and free capacity.
      */
     @Nested
     final class Stopping {
@@ -348,8 +362,9 @@
     }
 
     /**
-     * A failure domain is cut off from the store and the other domains. Its callers are refused for
-     * as long as the platform sends them there; told that this VM can't serve, it sends them on.
+     * A failure domain is disconnected from the store and the other domains. Its callers are
+     * refused for as long as the platform sends them there; when told that this VM can't serve, it
+     * sends them to other domains.
      */
     @Nested
     final class ServesCallers {
--- a/core/src/test/java/org/boragegap/core/cell/EarlierTermTest.java
+++ b/core/src/test/java/org/boragegap/core/cell/EarlierTermTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** A VM controls the cell anew while answers to orders of its earlier term are under way. */
+/** A VM controls the cell again while answers to orders of its earlier term are in flight. */
 final class EarlierTermTest {
     private static final TargetInfo FIRST = ScriptedCell.target("t1", "x:1", "a", 2_000);
     private static final TargetInfo SECOND = ScriptedCell.target("t2", "x:2", "a", 2_000);
@@ -45,7 +45,10 @@
             mCell.on(60, new CellEvent.TermBegan(9, Optional.of(List.of(FIRST, SECOND))));
         }
 
-        /** Guards against an answer to a call of an earlier term being taken for one of this. */
+        /**
+         * Guards against an answer to a call of an earlier term being taken for one of the current
+         * term.
+         */
         @Test
         void callsOfTwoTermsHaveDifferentNumbers() {
             Set<Long> before = new HashSet<>();
@@ -60,7 +63,7 @@
             }
         }
 
-        /** Guards against a term that ends since a target rejects an order of an earlier term. */
+        /** Guards against a term that ends because a target rejects an order of an earlier term. */
         @Test
         void aRejectedCallOfAnEarlierTermDeposesNobody() {
             long earlier = firstCall("t1");
@@ -69,7 +72,7 @@
             assertThat(mCell.actions(CellAction.Deposed.class)).isEmpty();
         }
 
-        /** Guards against a term that is settled by what targets told its predecessor. */
+        /** Guards against a term that is settled by reports of targets to an earlier term. */
         @Test
         void aReportToAnEarlierTermSettlesNothing() {
             long earlierFirst = firstCall("t1");
@@ -106,7 +109,10 @@
             assertThat(mLater.target()).isEqualTo(mEarlier.target());
         }
 
-        /** Guards against a task run twice at a time since an order of an earlier term failed. */
+        /**
+         * Guards against a task that runs twice at a time because an order of an earlier term
+         * failed.
+         */
         @ParameterizedTest
         @EnumSource(names = {"NOT_SENT", "NOT_RUN", "NO_ROOM", "OLD_RUN"})
         void anEarlierOrderThatFailedReleasesNothing(OrderResult result) {
@@ -115,7 +121,7 @@
             assertThat(mCell.starts()).hasSize(2);
         }
 
-        /** Guards against a run being taken for confirmed that its target may not have. */
+        /** Guards against a run being taken for confirmed although its target may not have it. */
         @Test
         void anEarlierOrderThatWasTakenConfirmsNothing() {
             mCell.answer(50, mEarlier, OrderResult.DONE);
@@ -124,7 +130,7 @@
             assertThat(mCell.starts().size()).isGreaterThan(2);
         }
 
-        /** Guards against a term that ends since a target rejects an order of an earlier term. */
+        /** Guards against a term that ends because a target rejects an order of an earlier term. */
         @Test
         void aRejectedOrderOfAnEarlierTermDeposesNobody() {
             mCell.answer(50, mEarlier, OrderResult.FENCED);
--- a/core/src/test/java/org/boragegap/core/cell/FakeEntryVm.java
+++ b/core/src/test/java/org/boragegap/core/cell/FakeEntryVm.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 import org.boragegap.core.ClockReading;
 
-/** One entry VM of a history, over all its lives. */
+/** An entry VM of a history, across its restarts. */
 final class FakeEntryVm {
     final String mAddress;
     CellMember mMember;
@@ -32,40 +32,40 @@
         return mAddress + "/" + mIncarnation;
     }
 
-    /** Its clocks; the steady one doesn't count the time for which it stood still. */
+    /** Its clocks; the monotonic one doesn't count the time for which it was paused. */
     ClockReading clock(long nowMs) {
         return new ClockReading(nowMs - mPausedMs, nowMs);
     }
 
-    /** Runs something in this life of it; if it stands still, when it goes on. */
-    void inIncarnation(int life, SimulatedClock clock, Runnable action) {
-        if (!mAlive || mIncarnation != life) {
+    /** Runs an action if this incarnation is alive; after a pause or stall, once that ends. */
+    void inIncarnation(int incarnation, SimulatedClock clock, Runnable action) {
+        if (!mAlive || mIncarnation != incarnation) {
             return;
         }
         if (clock.nowMs() < Math.max(mPausedUntilMs, mStalledUntilMs)) {
-            mDeferred.add(() -> inIncarnation(life, clock, action));
+            mDeferred.add(() -> inIncarnation(incarnation, clock, action));
             return;
         }
         action.run();
     }
 
-    /** Stands still: its steady clock doesn't count the time, and what comes in waits. */
+    /** Pauses the VM: its monotonic clock stands still meanwhile, and arriving events wait. */
     void pause(SimulatedClock clock, long forMs) {
         if (!mAlive || clock.nowMs() < mPausedUntilMs) {
             return;
         }
         mPausedUntilMs = clock.nowMs() + forMs;
-        int life = mIncarnation;
-        clock.after(forMs, () -> resume(life, forMs));
+        int incarnation = mIncarnation;
+        clock.after(forMs, () -> resume(incarnation, forMs));
     }
 
-    private void resume(int life, long stoodStillMs) {
+    private void resume(int incarnation, long pausedMs) {
         mPausedUntilMs = 0;
-        if (mAlive && mIncarnation == life) {
-            mPausedMs += stoodStillMs;
-            List<Runnable> held = new ArrayList<>(mDeferred);
+        if (mAlive && mIncarnation == incarnation) {
+            mPausedMs += pausedMs;
+            List<Runnable> deferred = new ArrayList<>(mDeferred);
             mDeferred.clear();
-            held.forEach(Runnable::run);
+            deferred.forEach(Runnable::run);
         }
     }
 }
--- a/core/src/test/java/org/boragegap/core/cell/FakeGroup.java
+++ b/core/src/test/java/org/boragegap/core/cell/FakeGroup.java
@@ -9,7 +9,7 @@
 import java.util.SplittableRandom;
 import java.util.TreeSet;
 
-/** The store's group with one partition, as the platform's protocol has it. */
+/** The store's group with one partition, according to the platform's protocol. */
 final class FakeGroup {
     static final long LEASE_MS = 1_000;
 
@@ -25,13 +25,13 @@
         mRandom = random;
     }
 
-    /** An answer to a join. */
+    /** Answer to a join. */
     record Answer(long generation, boolean holds, Set<String> addresses) {}
 
-    Answer join(String member, boolean asks, long generation, long nowMs) {
+    Answer join(String member, boolean wantsCell, long generation, long nowMs) {
         expire(nowMs);
-        boolean changed = asks ? mCandidates.add(member) : mCandidates.remove(member);
-        if (!asks) {
+        boolean changed = wantsCell ? mCandidates.add(member) : mCandidates.remove(member);
+        if (!wantsCell) {
             release(member);
         }
         if (mMembers.put(member, nowMs) == null || changed) {
@@ -40,7 +40,7 @@
                 rebalance();
             }
         }
-        if (mOwner.isEmpty() && asks) {
+        if (mOwner.isEmpty() && wantsCell) {
             mOwner = mNextOwner.isEmpty() ? member : mNextOwner;
             mNextOwner = "";
             mGeneration++;
@@ -78,16 +78,16 @@
         release(member);
     }
 
-    /** Deals the partition anew. */
+    /** Assigns the partition to a random candidate. */
     void rebalance() {
         if (mMembers.isEmpty()) {
             return;
         }
-        List<String> members = new ArrayList<>(mCandidates);
-        if (members.isEmpty()) {
+        List<String> candidates = new ArrayList<>(mCandidates);
+        if (candidates.isEmpty()) {
             return;
         }
-        mNextOwner = members.get(mRandom.nextInt(members.size()));
+        mNextOwner = candidates.get(mRandom.nextInt(candidates.size()));
         mGeneration++;
         mNextOwnerGeneration = mGeneration;
         if (mNextOwner.equals(mOwner)) {
--- a/core/src/test/java/org/boragegap/core/cell/FaultRates.java
+++ b/core/src/test/java/org/boragegap/core/cell/FaultRates.java
@@ -1,16 +1,16 @@
 package org.boragegap.core.cell;
 
-/** Shares, in percent, of what goes wrong on its way in a history at this moment. */
+/** Current rates of the failures in a history, in percent. */
 final class FaultRates {
     /** Answers of targets that are lost. */
     int mLostAnswers;
 
-    /** Orders that are carried out seconds later, and not answered. */
+    /** Orders that are executed seconds later, and not answered. */
     int mLateOrders;
 
-    /** Messages between entry VMs that are held up for a while. */
+    /** Messages between entry VMs that are delayed. */
     int mLateMessages;
 
-    /** Answers of targets that come some hundred ms late. */
+    /** Answers of targets that arrive some hundred ms late. */
     int mSlowAnswers;
 }
--- a/core/src/test/java/org/boragegap/core/cell/FollowersTest.java
+++ b/core/src/test/java/org/boragegap/core/cell/FollowersTest.java
@@ -6,7 +6,7 @@
 import org.boragegap.core.ClockReading;
 import org.junit.jupiter.api.Test;
 
-/** Since when most VMs follow a controller without the store. */
+/** Endorsement of a controller by a majority that can't reach the store. */
 final class FollowersTest {
     private final Followers mFollowers = new Followers();
 
@@ -41,9 +41,10 @@
     }
 
     /**
-     * A task runs twice: one of six VMs restarts, then the controller's failure domain, three VMs,
-     * is cut off with it. Three of the five that are listed follow it without the store; the store
-     * deals the cell to one of the other two. Three of six are not most.
+     * Guards against a task that runs twice: one of six VMs restarts, then the controller's failure
+     * domain, of three VMs, is disconnected together with it. These three are a majority of the
+     * five listed VMs and follow the controller without the store, while the store assigns the cell
+     * to one of the other two. Three of six are no majority.
      */
     @Test
     void aRecentlyDelistedVmStillCounts() {
--- a/core/src/test/java/org/boragegap/core/cell/HeartbeatTimingTest.java
+++ b/core/src/test/java/org/boragegap/core/cell/HeartbeatTimingTest.java
@@ -5,10 +5,10 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Late answers on a deployment of hundreds of VMs though none had much to do: each cell's
- * controller told all VMs seven times a second that it was there, and they answered. What one VM
- * hears and sends must not grow with the number of cells and VMs. Sizes: the small deployments (9
- * VMs, one cell), the larger ones (47 VMs, 8 cells), a sweep's (300 VMs, 31 cells), and twice that.
+ * Guards against late answers in a deployment of hundreds of mostly idle VMs: each cell's
+ * controller sent heartbeats to all VMs seven times a second, and they replied. What one VM
+ * receives and sends must not grow with the number of cells and VMs. Sizes: small deployments (9
+ * VMs, one cell), larger ones (47 VMs, 8 cells), a sweep (300 VMs, 31 cells), and twice that.
  */
 final class HeartbeatTimingTest {
     private static final int STRONG = 1_500;
@@ -48,7 +48,10 @@
         assertThat(HeartbeatTiming.periodMs(1, 8, USUAL, 430)).isEqualTo(430);
     }
 
-    /** Ticks wake an idle VM; they must not put off by much when it misses its controller. */
+    /**
+     * Ticks wake an idle VM, so they are rare, but must not delay much when it misses its
+     * controller.
+     */
     @Test
     void anIdleVmTicksThreeTimesAPeriodAndAtLeastTenTimesASecond() {
         HeartbeatTiming pace = new HeartbeatTiming();
@@ -59,7 +62,10 @@
         assertThat(pace.tickMs()).isEqualTo(100);
     }
 
-    /** It stood still for four seconds once; when it is lost, callers must not wait for longer. */
+    /**
+     * A controller was once stalled for four seconds; callers must not wait longer for its loss to
+     * be noticed.
+     */
     @Test
     void aLongStallDoesNotDelayLossDetection() {
         HeartbeatTiming pace = new HeartbeatTiming();
--- a/core/src/test/java/org/boragegap/core/cell/MembershipTest.java
+++ b/core/src/test/java/org/boragegap/core/cell/MembershipTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Nested;
 import org.junit.jupiter.api.Test;
 
-/** Whether a VM may take it that it controls the cell. */
+/** Whether a VM may assume that it controls the cell. */
 final class MembershipTest {
     private static final long LEASE_MS = 1_000;
 
@@ -47,8 +47,8 @@
         }
 
         /**
-         * Callers were refused for a second each time another VM came or went: the group dealt all
-         * anew, and named the same holder again 20 ms later.
+         * Guards against refusing callers for a second each time another VM joins or leaves: the
+         * group rebalances, and names the same holder again 20 ms later.
          */
         @Test
         void aTermContinuesWhenTheCellIsReassignedToItsHolder() {
@@ -61,7 +61,10 @@
             assertThat(mMembership.fence()).hasValue(fence);
         }
 
-        /** The answer to a join was held up by a cut: it says nothing of now. */
+        /**
+         * The answer to a join was delayed by a network partition, so it doesn't describe the
+         * present.
+         */
         @Test
         void anAnswerOlderThanTheLeaseBeginsNoTerm() {
             mMembership.joined(3, true, at(0), at(LEASE_MS));
@@ -80,7 +83,10 @@
             assertThat(mMembership.fence()).isEmpty();
         }
 
-        /** The store is away for most: nobody else can be given the cell, work goes on. */
+        /**
+         * The store is unavailable to a majority: no other VM can be assigned the cell, and work
+         * continues.
+         */
         @Test
         void aTermOutlastsAStoreOutageThatAffectsAll() {
             join(3, true, 0);
@@ -89,9 +95,9 @@
         }
 
         /**
-         * The store is away, and the others, who follow without it, fall silent: each of their
-         * answers holds for a lease from the heartbeat that it answers, so that a next controller
-         * can tell when the last one is over.
+         * The store is unavailable, and the followers that endorsed the controller fall silent:
+         * each endorsement is valid for one lease from the heartbeat that it answers, so that the
+         * next controller can tell when the last one has expired.
          */
         @Test
         void aTermWithoutTheStoreEndsALeaseAfterTheLastAnsweredHeartbeat() {
@@ -103,9 +109,9 @@
         }
 
         /**
-         * The store is back and deals the cell anew; its first answer names no holder. Callers were
-         * refused for over a second each time the store came back, though the others followed this
-         * VM all the while.
+         * The store is available again and rebalances; its first answer names no holder. Callers
+         * were refused for over a second each time the store returned, although the others followed
+         * this VM all the time.
          */
         @Test
         void aTermContinuesWhileTheGroupRebalances() {
@@ -119,7 +125,7 @@
             assertThat(mMembership.fence()).hasValue(fence);
         }
 
-        /** The group has given the cell to another VM, and the others' word is over. */
+        /** The group has assigned the cell to another VM, and the endorsements have expired. */
         @Test
         void aTermEndsWhenTheCellIsReassignedAndNoEndorsementLasts() {
             join(3, true, 0);
@@ -133,27 +139,27 @@
         @Test
         void anAnswerFromBeforeAPauseGrantsNothing() {
             join(3, true, 0);
-            ClockReading awake = new ClockReading(5_000, 8_000);
-            mMembership.tick(awake, Optional.of(at(4_900)));
-            assertThat(mMembership.exclusiveUntilMs(awake)).isAtMost(awake.monotonicMs());
+            ClockReading resumed = new ClockReading(5_000, 8_000);
+            mMembership.tick(resumed, Optional.of(at(4_900)));
+            assertThat(mMembership.exclusiveUntilMs(resumed)).isAtMost(resumed.monotonicMs());
         }
 
         /**
-         * The process stands still for two seconds; its steady clock doesn't count them. Another VM
-         * has the cell by then, so nothing may be started before the group has answered.
+         * The process is paused for two seconds, which its monotonic clock doesn't count. Another
+         * VM may have the cell by then, so nothing may be started before the group has answered.
          */
         @Test
         void aPausedProcessHasNoAuthority() {
             join(3, true, 0);
-            ClockReading awake = new ClockReading(100, 2_100);
-            assertThat(mMembership.exclusiveUntilMs(awake)).isAtMost(awake.monotonicMs());
-            mMembership.joined(3, true, awake, awake);
-            assertThat(mMembership.exclusiveUntilMs(awake)).isGreaterThan(awake.monotonicMs());
+            ClockReading resumed = new ClockReading(100, 2_100);
+            assertThat(mMembership.exclusiveUntilMs(resumed)).isAtMost(resumed.monotonicMs());
+            mMembership.joined(3, true, resumed, resumed);
+            assertThat(mMembership.exclusiveUntilMs(resumed)).isGreaterThan(resumed.monotonicMs());
         }
 
         /**
-         * The store is away for less than a lease; the controller goes on without it meanwhile. A
-         * VM that takes the cell on its return must not vouch for there having been no outage.
+         * The store is unavailable for less than a lease, and the controller continues without it.
+         * A VM that takes the cell afterwards must not state that there was no outage.
          */
         @Test
         void aShortOutageIsNoticed() {
@@ -166,8 +172,8 @@
 
         /**
          * All VMs lose power and start again at once. Callers are refused until the first term may
-         * start tasks. What an earlier life of this VM has told a controller is over a lease after
-         * it; that life ended before this one began.
+         * start tasks. Endorsements by an earlier incarnation of this VM expire a lease after it
+         * ended, and it ended before this process started.
          */
         @Test
         void aNewProcessRulesOutAnOutageAfterALease() {
@@ -178,7 +184,7 @@
             assertThat(mMembership.sawNoOutage(at(LEASE_MS + 51))).isTrue();
         }
 
-        /** Before its first join a process told a controller to go on; that one still may act. */
+        /** Before its first join the process endorsed a controller, which still may act. */
         @Test
         void endorsingAControllerCountsAsAnOutage() {
             mMembership.endorsedController(at(800));
@@ -187,16 +193,18 @@
             assertThat(mMembership.sawNoOutage(at(800 + LEASE_MS + 50))).isFalse();
         }
 
-        /** Paused through an outage of the store, it must not vouch for there having been none. */
+        /**
+         * A VM that was paused during an outage of the store must not state that there was none.
+         */
         @Test
         void aPauseCountsAsAnOutage() {
             for (long ms = 0; ms <= 3_000; ms += 250) {
                 join(3, false, ms);
             }
             assertThat(mMembership.sawNoOutage(at(3_100))).isTrue();
-            ClockReading awake = new ClockReading(3_300, 6_300);
-            mMembership.joined(3, false, awake, awake);
-            assertThat(mMembership.sawNoOutage(awake)).isFalse();
+            ClockReading resumed = new ClockReading(3_300, 6_300);
+            mMembership.joined(3, false, resumed, resumed);
+            assertThat(mMembership.sawNoOutage(resumed)).isFalse();
         }
     }
 }
--- a/core/src/test/java/org/boragegap/core/cell/NetworkDelays.java
+++ b/core/src/test/java/org/boragegap/core/cell/NetworkDelays.java
@@ -2,12 +2,12 @@
 
 import java.util.SplittableRandom;
 
-/** How long messages of a history are on their way, in ms. */
+/** Delays of the messages of a history, in ms. */
 final class NetworkDelays {
     private static final long SLOW_FROM_MS = 1_500;
     private static final long SLOW_UNTIL_MS = 9_000;
 
-    /** Longest way to a slow store or back; the store is 85 times as slow as usual then. */
+    /** Longest delay to a slow store or back; the store is 85 times as slow as usual then. */
     private static final int MAX_SLOW_DELAY_MS = 170;
 
     private final SplittableRandom mRandom;
@@ -23,12 +23,12 @@
         clock.after(SLOW_UNTIL_MS, () -> mStoreSlow = false);
     }
 
-    /** From one process to another. */
+    /** Delay from one process to another. */
     long peerMs() {
         return 1 + mRandom.nextInt(mRandom.nextInt(20) == 0 ? 60 : 4);
     }
 
-    /** To the store or back. */
+    /** Delay to the store or back. */
     long storeMs() {
         return mStoreSlow
                 ? MAX_SLOW_DELAY_MS / 2 + mRandom.nextInt(MAX_SLOW_DELAY_MS / 2)
--- a/core/src/test/java/org/boragegap/core/cell/PredecessorsTest.java
+++ b/core/src/test/java/org/boragegap/core/cell/PredecessorsTest.java
@@ -9,8 +9,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * VMs are stopped and started in turn; at each move of the cell callers wait until the new
- * controller may start tasks. It may when nothing of an earlier one can be at work unseen.
+ * During a rolling restart, callers wait at each move of the cell until the new controller may
+ * start tasks. It may do so once no task of an earlier controller can be running unnoticed.
  */
 final class PredecessorsTest {
     private static final long LAST_TERM = 7_000;
@@ -21,9 +21,9 @@
     private final Predecessors mPredecessors = new Predecessors();
 
     private static CellMessage.HeartbeatReply answer(
-            boolean steady, long ownFence, long endedAgoMs) {
+            boolean sawNoOutage, long lastOwnFence, long endedAgoMs) {
         return new CellMessage.HeartbeatReply(
-                9_000, new ClockReading(0, 0), false, steady, ownFence, endedAgoMs, 0);
+                9_000, new ClockReading(0, 0), false, sawNoOutage, lastOwnFence, endedAgoMs, 0);
     }
 
     private Knowledge assess(CellMessage.HeartbeatReply vm2, CellMessage.HeartbeatReply vm3) {
@@ -53,8 +53,8 @@
     }
 
     /**
-     * All VMs were dark and start again, the strong ones first. Callers waited until the slowest
-     * had answered, though none of them can have controlled the cell since.
+     * All VMs were down and start again, the strong ones first. Callers waited until the slowest VM
+     * had replied, although none of them can have controlled the cell since.
      */
     @Nested
     final class LaterMembers {
@@ -89,7 +89,10 @@
                     .isEqualTo(Knowledge.AWAITS_ANSWERS);
         }
 
-        /** Asked for before the term began, it may lack who controlled the cell in between. */
+        /**
+         * A list that was requested before the term began may lack a VM that controlled the cell in
+         * between.
+         */
         @Test
         void untilTheMembersAreReadInThisTerm() {
             mPredecessors.termBegan(LAST_TERM, BEGAN_MS);
@@ -100,7 +103,7 @@
                     .isEqualTo(Knowledge.AWAITS_ANSWERS);
         }
 
-        /** One that ended just now had targets that this VM was not told of. */
+        /** The targets of a term that has just ended were not sent to this VM. */
         @Test
         void whileALaterTermsTargetsAreUnknown() {
             mPredecessors.termBegan(LAST_TERM, BEGAN_MS);
@@ -115,7 +118,7 @@
                     .isEqualTo(Knowledge.STORE_WAS_AWAY);
         }
 
-        /** Answers that were given to an earlier term of this VM say nothing of this one. */
+        /** Replies to an earlier term of this VM don't count for this one. */
         @Test
         void forAnswersToThisTerm() {
             mPredecessors.termBegan(LAST_TERM, BEGAN_MS);
--- a/core/src/test/java/org/boragegap/core/cell/ReportedAbsenceTest.java
+++ b/core/src/test/java/org/boragegap/core/cell/ReportedAbsenceTest.java
@@ -9,7 +9,10 @@
 import org.junit.jupiter.api.Nested;
 import org.junit.jupiter.api.Test;
 
-/** A target lists a limited number of ends at a time: what it doesn't list may be an end. */
+/**
+ * A target reports a limited number of ended runs at a time: a run that it doesn't report may have
+ * ended.
+ */
 final class ReportedAbsenceTest {
     private static final String JOB = "00000000000000c1";
     private static final String OTHER_JOB = "00000000000000c2";
@@ -17,7 +20,7 @@
     private static final TargetInfo FIRST = ScriptedCell.target("t1", "x:1", "a", 2_000);
     private static final TargetInfo SECOND = ScriptedCell.target("t2", "x:2", "a", 2_000);
 
-    /** How many ends the platform's targets list at a time. */
+    /** Maximum number of ended runs that the platform's targets report at a time. */
     private static final int LISTED_AT_A_TIME = 500;
 
     private final ScriptedCell mCell = new ScriptedCell();
@@ -59,7 +62,7 @@
             mCell.report(ms, mStart.target().id(), running, ended);
         }
 
-        /** Guards against a run being taken for gone while the target holds back its end. */
+        /** Guards against a run being taken for lost while the target has yet to report its end. */
         @Test
         void aReportFullOfEndsProvesNoAbsence() {
             report(30, List.of(), endsOfOthers(LISTED_AT_A_TIME));
@@ -74,7 +77,7 @@
             assertThat(mCell.verdicts()).containsExactly(new Verdict.Completed());
         }
 
-        /** Guards against a task that waits for good for a run that its target doesn't have. */
+        /** Guards against a task that waits forever for a run that its target doesn't have. */
         @Test
         void aReportOfAllEndsProvesAbsence() {
             report(30, List.of(), endsOfOthers(LISTED_AT_A_TIME));
@@ -86,7 +89,7 @@
 
     @Nested
     final class OfARunOfAnEarlierTerm {
-        /** Guards against a task being done again while the target holds back its end. */
+        /** Guards against a task being done again while the target has yet to report its end. */
         @Test
         void aReportFullOfEndsProvesNoAbsence() {
             mCell.on(0, new CellEvent.TermBegan(9, Optional.of(List.of(FIRST))));
--- a/core/src/test/java/org/boragegap/core/cell/SimulatedClock.java
+++ b/core/src/test/java/org/boragegap/core/cell/SimulatedClock.java
@@ -4,7 +4,7 @@
 import java.util.PriorityQueue;
 import java.util.function.LongConsumer;
 
-/** The one clock of a history, and what is to happen at which time. */
+/** The single clock of a history, and the actions scheduled on it. */
 final class SimulatedClock {
     private record Scheduled(long atMs, long sequence, Runnable action) {}
 
@@ -23,7 +23,10 @@
         mEvents.add(new Scheduled(mNowMs + delayMs, mSequence++, action));
     }
 
-    /** Lets everything happen up to a time; {@code onTime} is told the time before each event. */
+    /**
+     * Runs all actions that are due before {@code endMs}; {@code onTime} receives the time before
+     * each action.
+     */
     void runUntil(long endMs, LongConsumer onTime) {
         while (!mEvents.isEmpty() && mEvents.peek().atMs() < endMs) {
             Scheduled next = mEvents.poll();
--- a/core/src/test/java/org/boragegap/core/cell/StallInjector.java
+++ b/core/src/test/java/org/boragegap/core/cell/StallInjector.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** Holds the entry VMs of a history up by turns, as VMs with next to no processor are. */
+/** Stalls the entry VMs of a history repeatedly, as happens to VMs with very little processor. */
 final class StallInjector {
     private final SimulatedClock mClock;
     private final SplittableRandom mRandom;
@@ -18,7 +18,7 @@
         vms.forEach(vm -> mClock.after(mRandom.nextInt(300), () -> stall(vm)));
     }
 
-    /** Stands still while its clocks go on; what comes in meanwhile waits. */
+    /** Stalls the VM: its clocks continue, and arriving events wait. */
     private void stall(FakeEntryVm vm) {
         long forMs = 50 + mRandom.nextInt(mRandom.nextBoolean() ? 650 : 100);
         vm.mStalledUntilMs = mClock.nowMs() + forMs;
@@ -26,9 +26,9 @@
     }
 
     private void resume(FakeEntryVm vm) {
-        List<Runnable> held = new ArrayList<>(vm.mDeferred);
+        List<Runnable> deferred = new ArrayList<>(vm.mDeferred);
         vm.mDeferred.clear();
-        held.forEach(Runnable::run);
+        deferred.forEach(Runnable::run);
         mClock.after(10 + mRandom.nextInt(30), () -> stall(vm));
     }
 }
--- a/core/src/test/java/org/boragegap/core/cell/TermStatistics.java
+++ b/core/src/test/java/org/boragegap/core/cell/TermStatistics.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Counts the terms of a cell, and how often it went from one VM to another. */
+/** Counts the terms of a cell, its moves from one VM to another, and the candidacies. */
 final class TermStatistics {
     private String mLastController = "";
     private final List<Long> mCandidaciesMs = new ArrayList<>();
@@ -18,12 +18,12 @@
         mLastController = controller;
     }
 
-    /** A VM asks for the cell. */
+    /** Records that a VM has become a candidate for the cell. */
     void recordCandidacy(long nowMs) {
         mCandidaciesMs.add(nowMs);
     }
 
-    /** How often a VM asked for the cell from a time on. */
+    /** How many candidacies began at or after a time. */
     long candidaciesSince(long ms) {
         return mCandidaciesMs.stream().filter(at -> at >= ms).count();
     }
