--- a/core/src/main/java/org/boragegap/core/cell/AdmissionControl.java
+++ b/core/src/main/java/org/boragegap/core/cell/AdmissionControl.java
@@ -1,50 +1,57 @@
 package org.boragegap.core.cell;
 
 /**
- * Refuses a job at the door when it would wait so long that its answer would come too late.
+ * Refuses a job on arrival when its expected wait is so long that its answer would come too late.
  *
- * <p>Under overload every order without refusal collapses: half-done jobs hold the targets and
- * nothing is in time. A refusal at once costs a caller less than a late answer.
+ * <p>Without refusal, any start order collapses under overload: partly finished jobs occupy the
+ * targets and no job meets its objective. An immediate refusal costs a caller less than a late
+ * answer.
  *
- * <p>Jobs start in the order of their latest start, so a job waits only for what is before it in
- * that order. Counting all that waits would refuse short jobs because long ones wait behind them.
+ * <p>Jobs start in the order of their latest start, so a job waits only for the jobs ahead of it in
+ * that order. Counting all waiting jobs would refuse short jobs because long ones wait behind them.
  */
 final class AdmissionControl {
-    /** Share of its slack that a job may be expected to wait; estimates are off by more. */
+    /**
+     * Share of its slack that a job may be expected to wait; it is small because run time estimates
+     * are inaccurate.
+     */
     private static final double MAX_SLACK_SHARE = 0.2;
 
-    /** Least time after which a refused caller is asked to come back, in ms. */
+    /** Minimum retry delay given to a refused caller, in ms. */
     private static final long MIN_RETRY_AFTER_MS = 1_000;
 
     private final Term mTerm;
     private final RunTimeEstimator mRunTimes;
 
-    AdmissionControl(Term term, RunTimeEstimator times) {
+    AdmissionControl(Term term, RunTimeEstimator runTimes) {
         mTerm = term;
-        mRunTimes = times;
+        mRunTimes = runTimes;
     }
 
-    /** Expected run time of the longest chain of steps, in ms. */
+    /** Expected run time of the longest chain of dependent steps, in ms. */
     long criticalPathMs(JobRequest request) {
         long[] chain = new long[request.steps().size()];
         long longest = 0;
         for (int i = 0; i < chain.length; i++) {
             StepRequest step = request.steps().get(i);
-            long before = 0;
+            long prerequisitesMs = 0;
             for (int earlier : step.dependsOn()) {
-                before = Math.max(before, chain[earlier]);
+                prerequisitesMs = Math.max(prerequisitesMs, chain[earlier]);
             }
-            chain[i] = before + Math.round(mRunTimes.expectedMs(request.queue(), step));
+            chain[i] = prerequisitesMs + Math.round(mRunTimes.expectedMs(request.queue(), step));
             longest = Math.max(longest, chain[i]);
         }
         return longest;
     }
 
-    /** Expected wait of a new job: all work before it, over all that can run at once. */
-    long expectedWaitMs(CellJob newcomer) {
+    /**
+     * Expected wait of a new job, in ms: the work of all jobs ahead of it, divided by the number of
+     * tasks that can run at once.
+     */
+    long expectedWaitMs(CellJob newJob) {
         double workMs = 0;
         double cpuMs = 0;
-        for (CellJob job : mTerm.waiting().headSet(newcomer)) {
+        for (CellJob job : mTerm.waiting().headSet(newJob)) {
             for (int i = 0; i < job.request().steps().size(); i++) {
                 StepRequest step = job.request().steps().get(i);
                 double expectedMs = mRunTimes.expectedMs(job.request().queue(), step);
@@ -60,7 +67,9 @@
         return Math.round(workMs / Math.max(1.0, slots(meanCpu)));
     }
 
-    /** How many tasks of this size run at once, each target filled with whole tasks. */
+    /**
+     * Number of tasks of this size that can run at once, counting only whole tasks on each target.
+     */
     private double slots(double cpuMillis) {
         double slots = 0;
         for (Target target : mTerm.targets().values()) {
@@ -73,13 +82,13 @@
         return slots;
     }
 
-    /** True when a job with this wait ahead of it can't be expected to be in time. */
-    boolean tooLate(CellJob job, long waitMs) {
+    /** True when a job with this expected wait is unlikely to meet its objective. */
+    boolean tooLate(CellJob job, long expectedWaitMs) {
         long slackMs = job.latestStartMs() - mTerm.nowMs();
-        return waitMs > MAX_SLACK_SHARE * slackMs;
+        return expectedWaitMs > MAX_SLACK_SHARE * slackMs;
     }
 
-    long retryAfterMs(long waitMs) {
-        return Math.max(MIN_RETRY_AFTER_MS, waitMs);
+    long retryAfterMs(long expectedWaitMs) {
+        return Math.max(MIN_RETRY_AFTER_MS, expectedWaitMs);
     }
 }
--- a/core/src/main/java/org/boragegap/core/cell/CellAction.java
+++ b/core/src/main/java/org/boragegap/core/cell/CellAction.java
@@ -2,18 +2,18 @@
 
 import java.util.List;
 
-/** What a controller wants done. */
+/** An action that a {@link CellController} requests. */
 public sealed interface CellAction {
 
     /**
-     * Extend a target's lease and ask for its report.
+     * Extends a target's lease and requests its report.
      *
      * @param target the target
-     * @param call names the call
+     * @param call number of the call
      * @param fence fencing token
-     * @param untilMs lease end on the target's clock; 0 to extend nothing, when its clock isn't
-     *     known yet
-     * @param acknowledged ends up to this number may be forgotten
+     * @param untilMs lease end on the target's clock; 0 to leave the lease as it is, because the
+     *     target's clock is not known yet or the target does not respond
+     * @param acknowledged the target may discard ends up to this sequence number
      * @param waitMs how long the target may wait for an end before it answers, in ms
      */
     record ExtendLease(
@@ -21,11 +21,11 @@
             implements CellAction {}
 
     /**
-     * Start a run.
+     * Starts a run.
      *
      * @param target the target
      * @param task the task
-     * @param run number of the start
+     * @param run run number
      * @param spec the job's spec
      * @param fence fencing token
      * @param untilMs lease end on the target's clock; the target rejects the start after it
@@ -35,49 +35,50 @@
             implements CellAction {}
 
     /**
-     * Stop a run; if it isn't there yet, the target will reject its start.
+     * Stops a run. If the run has not reached the target yet, the target will reject its start.
      *
      * @param target the target
      * @param task the task
-     * @param run number of the start
+     * @param run run number
      * @param fence fencing token
      */
     record StopRun(TargetInfo target, TaskName task, int run, long fence) implements CellAction {}
 
     /**
-     * Tell an entry VM how a job ended.
+     * Reports the verdict on a job to an entry VM.
      *
-     * @param entryVm its peer address
-     * @param job the job
-     * @param number of the offer that is answered
-     * @param verdict how it ended
+     * @param entryVm peer address of the entry VM
+     * @param job id of the job
+     * @param number number of the offer that this answers
+     * @param verdict how the job ended
      */
     record Answer(String entryVm, String job, long number, Verdict verdict) implements CellAction {}
 
     /**
-     * Tell all entry VMs on which targets this controller may start something.
+     * Sends all entry VMs the list of targets on which this controller may start tasks.
      *
      * @param targets the targets
      */
     record BroadcastTargets(List<TargetInfo> targets) implements CellAction {}
 
     /**
-     * Tell all entry VMs that a target has crashed under a task, so that a next controller knows.
+     * Reports to all entry VMs that a target crashed while a task ran there, or may have run there,
+     * so that the next controller knows of it.
      *
      * @param task the task
      * @param target id of the target
-     * @param evidence how surely the task was at work there
+     * @param evidence how certain it is that the task was running there
      */
     record BroadcastCrash(TaskName task, String target, CrashEvidence evidence)
             implements CellAction {}
 
-    /** Another controller has taken over: this VM must find out who. */
+    /** Another controller has taken over: this VM has to find out which one. */
     record Deposed() implements CellAction {}
 
     /**
-     * One line for the log.
+     * Writes one log line.
      *
-     * @param decision what was decided and by which inputs
+     * @param decision what was decided, and from which inputs
      */
     record Log(Decision decision) implements CellAction {}
 }
--- a/core/src/main/java/org/boragegap/core/cell/CellController.java
+++ b/core/src/main/java/org/boragegap/core/cell/CellController.java
@@ -7,18 +7,19 @@
 import org.boragegap.core.ClockReading;
 
 /**
- * Decides for one cell while this VM controls it: which jobs are taken on, which task starts where
- * and when, what is stopped, and how each job ended.
+ * Schedules one cell while this VM controls it: decides which jobs are admitted, where and when
+ * tasks start, what is stopped, and how each job ended.
  *
- * <p>A term is named by its fencing token. Targets reject orders with a lower token than they have
- * seen, so an earlier controller that doesn't know yet that it was replaced can start nothing on a
- * target that the later one has called.
+ * <p>A term is identified by its fencing token. Targets reject orders with a lower token than the
+ * highest they have seen, so a replaced controller that does not know of its replacement yet cannot
+ * start anything on a target that its successor has called.
  */
 public final class CellController {
     /**
-     * After the longest lease, on a clock that is 2% slow, and this many ms of a term nothing that
-     * an earlier controller has started can still run on a target that has not reported. The margin
-     * is for an order that was under way when the earlier controller gave the cell up.
+     * Added to the longest lease, as measured by a clock that is 2% slow, in ms. After that time in
+     * a term, nothing that an earlier controller started can still run on a target that has not
+     * reported. The margin covers an order that was in flight when the earlier controller gave up
+     * the cell.
      */
     private static final long SETTLE_MARGIN_MS = 100;
 
@@ -29,13 +30,16 @@
     private final Evacuations mEvacuations = new Evacuations();
     private final CrashHistory mCrashes = new CrashHistory();
 
-    /** Jobs that have started, each with the fencing token of the last term that knew of it. */
+    /**
+     * Jobs that may have started, each with the fencing token of the last term that recorded a
+     * start.
+     */
     private final RecentJobs<Long> mStarted = new RecentJobs<>();
 
     private long mNextCall = 1;
     private Term mTerm;
     private LeaseManager mLeases;
-    private CrashDetector mCrashWatch;
+    private CrashDetector mCrashDetector;
     private RunTracker mRuns;
     private JobLifecycle mJobs;
     private Placement mPlacement;
@@ -48,54 +52,55 @@
         mSettings = settings;
     }
 
-    /** Makes a controller that controls nothing yet. */
+    /** Creates a controller without a term. */
     public static CellController create(CellSettings settings) {
         return new CellController(settings);
     }
 
-    /** Fencing token of the term under way. */
+    /** Fencing token of the current term; empty when this VM does not control the cell. */
     public Optional<Long> fence() {
         return Optional.ofNullable(mTerm).map(Term::fence);
     }
 
     /**
-     * True when this term has started nothing and has extended the lease of nothing: a next
-     * controller needn't ask where its tasks are.
+     * True when this term has started no task and extended no lease of a running task, so that the
+     * next controller does not have to ask for its targets.
      */
     public boolean hasAffectedNoTarget() {
         return mTerm == null || !mSettled && !mTerm.hasSeenRuns();
     }
 
-    /** True when it knows which failure domains operators want emptied. */
+    /** True once it is known which failure domains operators have evacuated. */
     boolean knowsEvacuations() {
         return mEvacuations.known();
     }
 
-    /** What it has in hand. */
+    /** Summary of the current term. */
     public CellState state() {
         if (mTerm == null) {
             return CellState.NONE;
         }
         int runs = 0;
-        int open = 0;
+        int schedulable = 0;
         for (Target target : mTerm.targets().values()) {
             runs += target.runs().size();
-            open += mTerm.acceptsWork(target) ? 1 : 0;
+            schedulable += mTerm.acceptsWork(target) ? 1 : 0;
         }
         return new CellState(
-                mTerm.fence(), mTerm.targets().size(), open, mTerm.jobs().size(), runs);
+                mTerm.fence(), mTerm.targets().size(), schedulable, mTerm.jobs().size(), runs);
     }
 
     /**
-     * Says until when nobody else can control the cell, on the monotonic clock, in ms; to be called
-     * before each event. No lease lasts longer, so what this controller has started is over when
-     * the next one's term begins after a lapse.
+     * Sets the time until which no other VM can control the cell, on the monotonic clock, in ms.
+     * Has to be called before each event. No lease lasts longer, so after an expired membership
+     * everything that this controller started has ended by the time the next controller's term
+     * begins.
      */
     public void exclusiveUntil(long untilMs) {
         mExclusiveUntilMs = untilMs;
     }
 
-    /** Handles an event; what is to be done is added to {@code actions}. */
+    /** Handles an event and adds the resulting actions to {@code actions}. */
     public void on(CellEvent event, ClockReading clock, List<CellAction> actions) {
         if (event instanceof CellEvent.TermBegan began) {
             begin(began, clock, actions);
@@ -103,8 +108,9 @@
             end(actions);
         } else if (event instanceof CellEvent.DomainsEvacuated evacuated) {
             evacuate(evacuated, actions);
-        } else if (event instanceof CellEvent.CrashReported told) {
-            mCrashes.recordCrash(told.task(), told.target(), told.evidence(), clock.monotonicMs());
+        } else if (event instanceof CellEvent.CrashReported reported) {
+            mCrashes.recordCrash(
+                    reported.task(), reported.target(), reported.evidence(), clock.monotonicMs());
         }
         if (mTerm == null) {
             return;
@@ -120,9 +126,9 @@
         mTerm = new Term(fence, clock.monotonicMs(), mEvacuations, mCrashes, mStarted);
         mTerm.beginEvent(clock.monotonicMs(), actions);
         mTerm.exclusiveUntil(mExclusiveUntilMs);
-        mCrashWatch = new CrashDetector(mTerm);
-        mRuns = new RunTracker(mTerm, mRunTimes, mCrashWatch);
-        mLeases = new LeaseManager(mTerm, mRuns, mCrashWatch, () -> mNextCall++);
+        mCrashDetector = new CrashDetector(mTerm);
+        mRuns = new RunTracker(mTerm, mRunTimes, mCrashDetector);
+        mLeases = new LeaseManager(mTerm, mRuns, mCrashDetector, () -> mNextCall++);
         mPlacement = new Placement(mTerm, mSettings);
         mJobs =
                 new JobLifecycle(
@@ -130,9 +136,9 @@
                         mPlacement,
                         new AdmissionControl(mTerm, mRunTimes),
                         mRuns,
-                        mCrashWatch);
+                        mCrashDetector);
         mRuns.connect(mJobs, mLeases);
-        mCrashWatch.connect(mJobs);
+        mCrashDetector.connect(mJobs);
         mSettled = false;
         mPredecessorsKnown = false;
         mPredecessorLeasesExpired = false;
@@ -147,7 +153,9 @@
         actions.add(
                 new CellAction.Log(
                         Decision.self(
-                                "control", "fence=" + mTerm.fence(), "this VM controls nothing")));
+                                "control",
+                                "fence=" + mTerm.fence(),
+                                "this VM no longer controls the cell")));
         mTerm = null;
     }
 
@@ -155,7 +163,7 @@
         String before = mEvacuations.toString();
         if (mEvacuations.update(event.domains()) && mTerm != null) {
             String inputs = "domains=" + mEvacuations + " before=" + before;
-            Decision decision = Decision.self("evacuate", inputs, "starts nothing there");
+            Decision decision = Decision.self("evacuate", inputs, "no tasks are started there");
             actions.add(new CellAction.Log(decision));
         }
     }
@@ -170,8 +178,8 @@
             mJobs.offered(offered);
         } else if (event instanceof CellEvent.Withdrawn withdrawn) {
             mJobs.withdrawn(withdrawn);
-        } else if (event instanceof CellEvent.CrashReported told) {
-            mCrashWatch.crashReported(told.task());
+        } else if (event instanceof CellEvent.CrashReported reported) {
+            mCrashDetector.crashReported(reported.task());
         } else if (event instanceof CellEvent.LeaseExtended extended) {
             mLeases.leaseExtended(extended);
         } else if (event instanceof CellEvent.LeaseFailed failed) {
@@ -191,28 +199,29 @@
     }
 
     /**
-     * The term is settled when all that earlier controllers have started is known: their leases are
-     * over, or each target of the last one has reported. Before, a job that was handed to an
-     * earlier controller may run on a target that has not reported yet; starting its tasks
-     * elsewhere would run them twice at a time.
+     * A term is settled once everything that earlier controllers started is known: their leases
+     * have expired, or each target of the last controller has reported. Before that, a job that an
+     * earlier controller accepted may still run on a target that has not reported; starting its
+     * tasks elsewhere would run them twice at the same time.
      */
     private boolean settled() {
         if (mSettled) {
             return true;
         }
-        // No controller asks for a longer lease than this, whatever a target may grant.
+        // Controllers never request a longer lease than this, even if a target would grant one.
         long leaseMs = Math.min(mSettings.maxLeaseMs(), LeaseManager.LEASE_MS);
-        long boundMs = (long) (leaseMs / MIN_CLOCK_RATE) + SETTLE_MARGIN_MS;
+        long settledAfterMs = (long) (leaseMs / MIN_CLOCK_RATE) + SETTLE_MARGIN_MS;
         long ageMs = mTerm.nowMs() - mTerm.sinceMs();
-        boolean over = ageMs > boundMs && !mTerm.targets().isEmpty();
-        boolean told = mPredecessorsKnown && (mPredecessorLeasesExpired || mLeases.allReported());
-        mSettled = over || told;
+        boolean leasesExpired = ageMs > settledAfterMs && !mTerm.targets().isEmpty();
+        boolean predecessorsReported =
+                mPredecessorsKnown && (mPredecessorLeasesExpired || mLeases.allReported());
+        mSettled = leasesExpired || predecessorsReported;
         if (mSettled) {
             mTerm.log(
                     Decision.self(
                             "settled",
                             "term_age_ms=" + ageMs + " targets=" + mTerm.targets().size(),
-                            "starts tasks"));
+                            "tasks may start"));
         }
         return mSettled;
     }
@@ -229,25 +238,25 @@
     }
 
     /**
-     * Starts what has room, first things first. Under overload a hundred jobs wait for targets that
-     * are all but full; with the largest room known, each costs one comparison and not a look at
-     * every target.
+     * Starts waiting tasks in scheduling order while there is capacity. Under overload, a hundred
+     * jobs wait for targets that are nearly full; comparing each with the largest free capacity
+     * avoids a scan of all targets per job.
      */
     private void startTasks() {
-        int roomCpu = mPlacement.maxFreeCpu();
-        for (Iterator<CellJob> it = mTerm.waiting().iterator(); it.hasNext() && roomCpu >= 0; ) {
+        int maxFreeCpu = mPlacement.maxFreeCpu();
+        for (Iterator<CellJob> it = mTerm.waiting().iterator(); it.hasNext() && maxFreeCpu >= 0; ) {
             CellJob job = it.next();
-            if (job.abandoned() || job.minTaskCpu() > roomCpu) {
+            if (job.abandoned() || job.minTaskCpu() > maxFreeCpu) {
                 continue;
             }
             if (startTasks(job)) {
                 it.remove();
             }
-            roomCpu = mPlacement.maxFreeCpu();
+            maxFreeCpu = mPlacement.maxFreeCpu();
         }
     }
 
-    /** Starts the job's tasks that have room; true when none is left. */
+    /** Starts the job's ready tasks that fit; true when all of them were started. */
     private boolean startTasks(CellJob job) {
         List<CellTask> ready = job.readyTasks();
         List<Run> started = new ArrayList<>(ready.size());
--- a/core/src/main/java/org/boragegap/core/cell/CellEvent.java
+++ b/core/src/main/java/org/boragegap/core/cell/CellEvent.java
@@ -4,62 +4,63 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** What a controller learns. */
+/** An event that a {@link CellController} handles. */
 public sealed interface CellEvent {
 
     /**
-     * This VM controls the cell from now on.
+     * This VM now controls the cell.
      *
      * @param fence fencing token of the term; higher than that of any earlier term
-     * @param previousTargets targets of the last term heard of, if they were told
+     * @param previousTargets targets of the last known term, if its controller announced them
      */
     record TermBegan(long fence, Optional<List<TargetInfo>> previousTargets) implements CellEvent {}
 
     /**
-     * All entry VMs in the group have told when they last controlled the cell.
+     * All entry VMs in the group have reported when they last controlled the cell.
      *
-     * @param leasesExpired true when the leases of all earlier controllers are over; false when the
-     *     last one gave the cell up just now, and the targets that it told are all that may be at
-     *     work
+     * @param leasesExpired true when the leases of all earlier controllers have expired; false when
+     *     the last one has only just given up the cell, and only the targets that it announced may
+     *     still be running tasks
      */
     record PredecessorsKnown(boolean leasesExpired) implements CellEvent {}
 
-    /** This VM controls the cell no longer. */
+    /** This VM no longer controls the cell. */
     record TermEnded() implements CellEvent {}
 
     /**
-     * The platform's whole list of targets.
+     * The platform's complete list of targets was read.
      *
      * @param targets all listed targets
      */
     record TargetsListed(List<TargetInfo> targets) implements CellEvent {}
 
     /**
-     * Failure domains that operators want emptied; told also to a VM that controls nothing.
+     * Operators have evacuated failure domains; also sent to a VM that controls no cell.
      *
-     * @param domains all of them; empty for none
+     * @param domains all evacuated domains; may be empty
      */
     record DomainsEvacuated(Set<String> domains) implements CellEvent {}
 
     /**
-     * Another controller has seen a target crash under a task.
+     * Another controller has reported that a target crashed while a task ran there, or may have.
      *
      * @param task the task
      * @param target id of the target
-     * @param evidence how surely the task was at work there
+     * @param evidence how certain it is that the task was running there
      */
     record CrashReported(TaskName task, String target, CrashEvidence evidence)
             implements CellEvent {}
 
     /**
-     * A job that a caller waits for at an entry VM; may come again.
+     * An entry VM offers a job that a caller waits for; the same job may be offered more than once.
      *
      * @param entryVm peer address of that entry VM
      * @param request the job
-     * @param ageMs how long ago the caller handed it in, in ms
-     * @param budgetMs how long the caller waits in all, in ms
-     * @param controllers how many controllers the entry VM has offered it to, from 1
-     * @param number names the offer within that entry VM; its verdict repeats it
+     * @param ageMs how long ago the caller submitted it, in ms
+     * @param budgetMs how long the caller waits in total, in ms
+     * @param controllers number of controllers that the entry VM has offered it to, from 1; this
+     *     controller is included
+     * @param number number of the offer within that entry VM; the verdict repeats it
      */
     record Offered(
             String entryVm,
@@ -71,54 +72,55 @@
             implements CellEvent {}
 
     /**
-     * The caller doesn't wait any more.
+     * The callers at an entry VM no longer wait for a job.
      *
      * @param entryVm peer address of the entry VM
-     * @param job the job
+     * @param job id of the job
      */
     record Withdrawn(String entryVm, String job) implements CellEvent {}
 
     /**
-     * A target extended its lease and reported.
+     * A target has answered a lease call with its report.
      *
      * @param target id of the target
-     * @param call names the call
-     * @param report what it said
+     * @param call number of the call
+     * @param report the target's report
      */
     record LeaseExtended(String target, long call, TargetReport report) implements CellEvent {}
 
     /**
-     * A target gave no usable answer to a lease call.
+     * A lease call has failed.
      *
      * @param target id of the target
-     * @param call names the call
-     * @param cause why
+     * @param call number of the call
+     * @param cause why it failed
      */
     record LeaseFailed(String target, long call, OrderResult cause) implements CellEvent {}
 
     /**
-     * What became of a start.
+     * Result of an order to start a run.
      *
      * @param target id of the target
      * @param task the task
-     * @param run number of the start
-     * @param fence fencing token of the term that ordered it; another may have used the number
-     * @param result what became of it
+     * @param run run number
+     * @param fence fencing token of the term that ordered it; another term may have used the same
+     *     run number
+     * @param result result of the order
      */
     record StartAnswered(String target, TaskName task, int run, long fence, OrderResult result)
             implements CellEvent {}
 
     /**
-     * What became of a stop.
+     * Result of an order to stop a run.
      *
      * @param target id of the target
      * @param task the task
-     * @param run number of the start
-     * @param acknowledged true when the target has taken the order
+     * @param run run number
+     * @param acknowledged true when the target has accepted the order
      */
     record StopAnswered(String target, TaskName task, int run, boolean acknowledged)
             implements CellEvent {}
 
-    /** Time has passed. */
+    /** Periodic timer event. */
     record Ticked() implements CellEvent {}
 }
--- a/core/src/main/java/org/boragegap/core/cell/CellJob.java
+++ b/core/src/main/java/org/boragegap/core/cell/CellJob.java
@@ -6,18 +6,19 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** A job that the controller has taken on. */
+/** A job that the controller has admitted, with the state of its tasks. */
 final class CellJob {
     /**
-     * Run numbers that each further controller skips. A controller that takes over doesn't know how
-     * often its predecessor started a task; a target rejects a number that it has seen. Far more
-     * than the attempts that a queue allows.
+     * Size of the block of run numbers that is reserved for each controller of a job. A new
+     * controller does not know how many starts of a task its predecessor ordered, and a target
+     * rejects a run number that it has seen. The block is far larger than the number of attempts
+     * that a queue allows.
      */
     private static final int RUN_NUMBERS_PER_CONTROLLER = 16;
 
     /**
-     * Up to this many times its objective a late answer is still worth something to a caller; by
-     * the platform's rules.
+     * By the platform's rules, a late answer is of use to a caller up to this multiple of the job's
+     * objective.
      */
     private static final int MAX_USEFUL_OBJECTIVES = 3;
 
@@ -39,18 +40,18 @@
             long arrivedMs,
             long budgetMs,
             long objectiveMs,
-            long longestMs,
+            long criticalPathMs,
             int controllers) {
         mRequest = request;
         mBudgetMs = budgetMs;
-        int leastCpu = Integer.MAX_VALUE;
+        int minTaskCpu = Integer.MAX_VALUE;
         for (StepRequest step : request.steps()) {
-            leastCpu = Math.min(leastCpu, step.cpuMillis());
+            minTaskCpu = Math.min(minTaskCpu, step.cpuMillis());
         }
-        mMinTaskCpu = leastCpu;
+        mMinTaskCpu = minTaskCpu;
         mArrivedMs = arrivedMs;
         mObjectiveMs = objectiveMs;
-        mCriticalPathMs = longestMs;
+        mCriticalPathMs = criticalPathMs;
         mMayHaveStarted = controllers > 1;
         int firstRun = 1 + RUN_NUMBERS_PER_CONTROLLER * (controllers - 1);
         for (int step = 0; step < request.steps().size(); step++) {
@@ -85,19 +86,21 @@
         return mObjectiveMs;
     }
 
-    /** Processor of its smallest task, in thousandths of a core. */
+    /** CPU demand of its smallest task, in thousandths of a core. */
     int minTaskCpu() {
         return mMinTaskCpu;
     }
 
-    /** Latest time at which its longest task can start for the job to meet its objective. */
+    /**
+     * Latest time at which its longest chain of steps can start for the job to meet its objective.
+     */
     long latestStartMs() {
         return mArrivedMs + mObjectiveMs - mCriticalPathMs;
     }
 
     /**
-     * After this time a start of its longest task is of no use: the answer would come later than
-     * the caller waits, or than a late one is worth anything.
+     * Last time at which starting its longest chain of steps is of use: a later answer would exceed
+     * the time that the caller waits, or the time for which a late answer is of use.
      */
     long lastUsefulStartMs() {
         return mArrivedMs
@@ -105,7 +108,7 @@
                 - mCriticalPathMs;
     }
 
-    /** Entry VMs that wait for it, each with the number of its last offer. */
+    /** Entry VMs that wait for the job, each with the number of its last offer. */
     Map<String, Long> offersByEntryVm() {
         return mOffersByEntryVm;
     }
@@ -114,22 +117,27 @@
         return mMayHaveStarted;
     }
 
-    /** A task of it was ordered, or is known to have been by an earlier controller. */
+    /**
+     * Records that a task of the job may have started, ordered by this controller or an earlier
+     * one.
+     */
     void markMayHaveStarted() {
         mMayHaveStarted = true;
     }
 
-    /** True when it was found too late to meet its objective, with nothing of it begun. */
+    /**
+     * True when the job was found too late to meet its objective before any of its tasks started.
+     */
     boolean late() {
         return mLate;
     }
 
-    /** To be called while no ordered set holds it. */
+    /** Must not be called while an ordered set holds the job, because the order depends on it. */
     void markLate() {
         mLate = true;
     }
 
-    /** True when some task of it runs or is done. */
+    /** True when at least one of its tasks runs or is done. */
     boolean hasProgress() {
         int all = 0;
         for (List<CellTask> tasks : mSteps) {
@@ -150,8 +158,8 @@
         mAbandonedMs = nowMs;
     }
 
-    void addOffer(String entry, long offer) {
-        mOffersByEntryVm.put(entry, offer);
+    void addOffer(String entryVm, long offerNumber) {
+        mOffersByEntryVm.put(entryVm, offerNumber);
         mAbandonedMs = -1;
     }
 
@@ -169,7 +177,7 @@
         return tasks().stream().filter(task -> task.name().equals(name)).findFirst();
     }
 
-    /** Tasks that may start now: not done, not running, and all steps before them done. */
+    /** Tasks that can start now: neither running nor done, and all prerequisite steps are done. */
     List<CellTask> readyTasks() {
         List<CellTask> ready = new ArrayList<>();
         for (List<CellTask> tasks : mSteps) {
@@ -185,7 +193,7 @@
         return ready;
     }
 
-    /** How many tasks of a step may start now. */
+    /** Number of tasks of a step that can start now. */
     int readyCount(int step) {
         List<CellTask> tasks = mSteps.get(step);
         if (tasks.isEmpty() || !dependenciesDone(tasks.get(0).step())) {
@@ -199,8 +207,8 @@
     }
 
     private boolean dependenciesDone(StepRequest step) {
-        for (int before : step.dependsOn()) {
-            for (CellTask task : mSteps.get(before)) {
+        for (int prerequisite : step.dependsOn()) {
+            for (CellTask task : mSteps.get(prerequisite)) {
                 if (!task.done()) {
                     return false;
                 }
@@ -209,7 +217,7 @@
         return true;
     }
 
-    /** Counts a task as done; true when it was the last. */
+    /** Marks a task as done; returns true when it was the last open task. */
     boolean finish(CellTask task) {
         task.markDone();
         mOpenTasks--;
--- a/core/src/main/java/org/boragegap/core/cell/CellTask.java
+++ b/core/src/main/java/org/boragegap/core/cell/CellTask.java
@@ -2,7 +2,7 @@
 
 import java.util.Optional;
 
-/** One task of a job, with its run if it has one. */
+/** One task of a job, with its current run, if any. */
 final class CellTask {
     private final CellJob mJob;
     private final TaskName mName;
@@ -47,7 +47,7 @@
         return mNextRun++;
     }
 
-    /** Makes sure that the next start has a number above this one. */
+    /** Ensures that the next start uses a run number above this one. */
     void skipRunsUpTo(int number) {
         mNextRun = Math.max(mNextRun, number + 1);
     }
--- a/core/src/main/java/org/boragegap/core/cell/Configuration.java
+++ b/core/src/main/java/org/boragegap/core/cell/Configuration.java
@@ -5,9 +5,9 @@
 import java.util.Optional;
 
 /**
- * The configuration in force: which queue a request belongs to, and which service runs it.
+ * The active configuration: maps requests to queues, and queues to services.
  *
- * @param version rises with each change, in uneven steps
+ * @param version increases with each change, not necessarily by one
  * @param routes all queues
  * @param services all services, by name
  */
@@ -18,15 +18,14 @@
      *
      * @param name its name
      * @param host host name that callers use
-     * @param prefix path prefix; the longest one that fits wins
+     * @param prefix path prefix; the longest matching prefix wins
      * @param service service whose targets run its tasks
-     * @param timeoutMs how long a request may take, in ms
-     * @param objectiveBaseMs part of the objective that doesn't depend on the work, in ms
-     * @param stretch part of the objective that does, as a factor
+     * @param timeoutMs maximum duration of a request, in ms
+     * @param objectiveBaseMs part of the objective that is independent of the work, in ms
+     * @param stretch part of the objective that is proportional to the work, as a factor
      * @param urgency 0 is the most urgent
-     * @param maxAttempts failed runs of one task after which its job has failed
-     * @param needsAdvice true when only a service of the platform knows which targets may run a
-     *     step
+     * @param maxAttempts number of failed runs of one task after which its job fails
+     * @param needsAdvice true when a platform service has to be asked which targets may run a step
      */
     public record Route(
             String name,
@@ -44,11 +43,11 @@
      * A service.
      *
      * @param name its name
-     * @param enforcesCapacity true when its targets reject what doesn't fit
+     * @param enforcesCapacity true when its targets reject tasks that exceed their capacity
      */
     public record Service(String name, boolean enforcesCapacity) {}
 
-    /** The queue of a request; empty when there is none. */
+    /** The queue of a request; empty when no queue matches. */
     public Optional<Route> route(String host, String path) {
         Route best = null;
         for (Route route : routes) {
--- a/core/src/main/java/org/boragegap/core/cell/Decision.java
+++ b/core/src/main/java/org/boragegap/core/cell/Decision.java
@@ -1,35 +1,35 @@
 package org.boragegap.core.cell;
 
 /**
- * A decision that touches a request or changes what the process believes, for the log.
+ * A log entry for a decision that affects a request or the state of the process.
  *
- * @param what what was decided, a short constant such as {@code start}
- * @param job id of the job; empty if it touches none
- * @param task name of the task; empty if it touches none
- * @param target id of the target; empty if it touches none
- * @param inputs what decided it, with ages and versions, as {@code name=value} pairs
- * @param outcome what follows from it
+ * @param what kind of decision, a short constant such as {@code start}
+ * @param job id of the job; empty if none is concerned
+ * @param task name of the task; empty if none is concerned
+ * @param target id of the target; empty if none is concerned
+ * @param inputs the inputs of the decision, with ages and versions, as {@code name=value} pairs
+ * @param outcome the result of the decision
  */
 public record Decision(
         String what, String job, String task, String target, String inputs, String outcome) {
 
-    /** A decision about a job. */
+    /** Creates a decision about a job. */
     public static Decision job(String what, String job, String inputs, String outcome) {
         return new Decision(what, job, "", "", inputs, outcome);
     }
 
-    /** A decision about one run of a task. */
+    /** Creates a decision about one run of a task. */
     public static Decision run(
             String what, TaskName task, String target, String inputs, String outcome) {
         return new Decision(what, task.job(), task.text(), target, inputs, outcome);
     }
 
-    /** A decision about a target. */
+    /** Creates a decision about a target. */
     public static Decision target(String what, String target, String inputs, String outcome) {
         return new Decision(what, "", "", target, inputs, outcome);
     }
 
-    /** A decision of the process about itself. */
+    /** Creates a decision about the process itself. */
     public static Decision self(String what, String inputs, String outcome) {
         return new Decision(what, "", "", "", inputs, outcome);
     }
--- a/core/src/main/java/org/boragegap/core/cell/EndCause.java
+++ b/core/src/main/java/org/boragegap/core/cell/EndCause.java
@@ -4,32 +4,32 @@
 public enum EndCause {
     /** The task is done. */
     DONE(true, false),
-    /** It failed, through its own fault or the target's. */
+    /** The task failed, because of the task itself or of the target. */
     FAILED(false, true),
-    /** Stopped on our order. */
+    /** The controller stopped the run. */
     STOPPED(false, false),
-    /** Its lease ran out. */
+    /** Its lease expired. */
     LAPSED(false, false),
     /** Another member of its gang ended. */
     BROKEN(false, false),
-    /** The other members of its gang did not come in time. */
+    /** The other members of its gang did not start in time. */
     ALONE(false, false);
 
     private final boolean mDone;
-    private final boolean mAttempt;
+    private final boolean mCountsAsAttempt;
 
-    EndCause(boolean done, boolean attempt) {
+    EndCause(boolean done, boolean countsAsAttempt) {
         mDone = done;
-        mAttempt = attempt;
+        mCountsAsAttempt = countsAsAttempt;
     }
 
-    /** True when the task need not run again. */
+    /** True when the task does not have to run again. */
     public boolean done() {
         return mDone;
     }
 
-    /** True when it counts towards the queue's limit of attempts. */
+    /** True when the run counts towards the queue's limit of attempts. */
     public boolean countsAsAttempt() {
-        return mAttempt;
+        return mCountsAsAttempt;
     }
 }
--- a/core/src/main/java/org/boragegap/core/cell/EntryAction.java
+++ b/core/src/main/java/org/boragegap/core/cell/EntryAction.java
@@ -1,30 +1,30 @@
 package org.boragegap.core.cell;
 
-/** What an entry VM's desk wants done. */
+/** An action that {@link PendingJobs} requests. */
 public sealed interface EntryAction {
 
     /**
-     * Send a message to the controller.
+     * Sends a message to the controller.
      *
-     * @param address its peer address; may be this VM's own
+     * @param address peer address of the controller; may be this VM's own
      * @param message the message
      */
     record Send(String address, CellMessage message) implements EntryAction {}
 
     /**
-     * Answer a waiting caller.
+     * Answers a waiting caller.
      *
-     * @param ticket the caller
-     * @param job the job
-     * @param verdict how it ended
-     * @param waitedMs since the caller handed it in, in ms
+     * @param ticket identifies the caller within this process
+     * @param job id of the job
+     * @param verdict how the job ended
+     * @param waitedMs time since the caller submitted the job, in ms
      */
     record Reply(long ticket, String job, Verdict verdict, long waitedMs) implements EntryAction {}
 
     /**
-     * One line for the log.
+     * Writes one log line.
      *
-     * @param decision what was decided and by which inputs
+     * @param decision what was decided, and from which inputs
      */
     record Log(Decision decision) implements EntryAction {}
 }
--- a/core/src/main/java/org/boragegap/core/cell/EntryEvent.java
+++ b/core/src/main/java/org/boragegap/core/cell/EntryEvent.java
@@ -1,12 +1,12 @@
 package org.boragegap.core.cell;
 
-/** What an entry VM's desk learns. */
+/** An event that {@link PendingJobs} handles. */
 public sealed interface EntryEvent {
 
     /**
-     * A caller hands a job in and waits.
+     * A caller has submitted a job and waits for its verdict.
      *
-     * @param ticket names the waiting caller within this process
+     * @param ticket identifies the waiting caller within this process
      * @param request the job
      * @param budgetMs how long the caller waits, in ms
      */
@@ -15,37 +15,40 @@
     /**
      * A waiting caller has closed its connection.
      *
-     * @param ticket the caller
+     * @param ticket identifies the caller within this process
      */
     record CallerLeft(long ticket) implements EntryEvent {}
 
     /**
-     * A controller was heard of.
+     * A heartbeat from a controller, possibly this VM itself, has arrived.
      *
-     * @param address its peer address
+     * @param address peer address of the controller
      * @param fence fencing token of its term
      */
     record ControllerHeard(String address, long fence) implements EntryEvent {}
 
     /**
-     * A controller has given the cell up as planned.
+     * A controller has announced that it gave up the cell.
      *
      * @param fence fencing token of its term
      */
     record ControllerLeft(long fence) implements EntryEvent {}
 
     /**
-     * A controller has decided.
+     * A controller has sent its verdict on a job.
      *
-     * @param job the job
-     * @param number of the offer that is answered
-     * @param verdict how it ended
+     * @param job id of the job
+     * @param number number of the offer that this answers
+     * @param verdict how the job ended
      */
     record Decided(String job, long number, Verdict verdict) implements EntryEvent {}
 
-    /** The process will stop: everything that waits is to be answered soon. */
+    /**
+     * The process is shutting down: no new jobs are accepted, and those that wait are answered
+     * soon.
+     */
     record Draining() implements EntryEvent {}
 
-    /** Time has passed. */
+    /** Periodic timer event. */
     record Ticked() implements EntryEvent {}
 }
--- a/core/src/main/java/org/boragegap/core/cell/JobLifecycle.java
+++ b/core/src/main/java/org/boragegap/core/cell/JobLifecycle.java
@@ -10,25 +10,28 @@
 import java.util.function.Predicate;
 import java.util.function.ToLongFunction;
 
-/** Takes jobs on, and tells the entry VMs how they ended. */
+/** Admits or refuses offered jobs, and reports to the entry VMs how they ended. */
 final class JobLifecycle {
     /**
-     * How long a verdict is kept, in ms. A caller whose connection broke hands the job in again
-     * after a second or two, and gets the same answer.
+     * How long a verdict is kept, in ms. A caller whose connection broke submits the job again
+     * after a second or two and gets the same answer.
      */
     private static final long VERDICT_RETENTION_MS = 10_000;
 
-    /** How long a job without a caller is kept for its return, in ms; see above. */
+    /**
+     * How long a job without a caller is kept in case the caller returns, in ms; see {@link
+     * #VERDICT_RETENTION_MS}.
+     */
     private static final long ABANDONED_RETENTION_MS = 3_000;
 
     /**
-     * How long a refusal is remembered, in ms; a connection that is silent for two seconds is
-     * closed, and what it held is lost with it.
+     * How long a refusal is remembered, in ms. A connection that is silent for two seconds is
+     * closed, and messages in transit on it are lost, so no offer is delayed for longer.
      */
     private static final long REFUSAL_RETENTION_MS = 10_000;
 
-    /** Reason of a refusal. */
-    private static final String INFEASIBLE_REASON = "no target can hold it";
+    /** Reason for refusing a job that no target has the capacity for. */
+    private static final String INFEASIBLE_REASON = "no target has the capacity for it";
 
     private record KeptVerdict(Verdict verdict, long atMs) {}
 
@@ -75,9 +78,9 @@
     }
 
     /**
-     * Guards against an offer that was held up on its way. The entry VM has offered the job again
-     * meanwhile, that offer was refused, and the caller was told so. Taking the earlier one on
-     * would run a job that was said not to run.
+     * True for an offer that was delayed in transit after the refusal of a later offer of the same
+     * job. The caller was told that the job does not run, so the delayed offer must not be
+     * admitted.
      */
     private boolean refusedLaterOffer(CellEvent.Offered offer) {
         Refusal refusal = mRefusals.get(new OfferKey(offer.entryVm(), offer.request().id()));
@@ -86,8 +89,9 @@
 
     private void admitOrRefuse(CellEvent.Offered offer) {
         JobRequest request = offer.request();
-        long longestMs = mAdmission.criticalPathMs(request);
-        long objectiveMs = Math.round(request.stretch() * longestMs) + request.objectiveBaseMs();
+        long criticalPathMs = mAdmission.criticalPathMs(request);
+        long objectiveMs =
+                Math.round(request.stretch() * criticalPathMs) + request.objectiveBaseMs();
         long arrivedMs = mTerm.nowMs() - offer.ageMs();
         CellJob job =
                 new CellJob(
@@ -95,10 +99,11 @@
                         arrivedMs,
                         offer.budgetMs(),
                         objectiveMs,
-                        longestMs,
+                        criticalPathMs,
                         offer.controllers());
         job.addOffer(offer.entryVm(), offer.number());
-        // Before any verdict: what is known to be done needs no room, and hasn't failed.
+        // Checked before any refusal or failure: tasks known to be done need no capacity and have
+        // not failed.
         if (mRuns.markKnownDone(job)) {
             end(job, new Verdict.Completed());
             return;
@@ -112,10 +117,11 @@
             refuse(offer.entryVm(), offer.number(), job, INFEASIBLE_REASON, 0);
             return;
         }
-        long waitMs = mAdmission.expectedWaitMs(job);
-        boolean hopeless = mAdmission.tooLate(job, waitMs) && !mPlacement.hasFreeTargetFor(job);
-        if (hopeless && !job.mayHaveStarted()) {
-            refuse(offer.entryVm(), offer.number(), job, "would wait too long", waitMs);
+        long expectedWaitMs = mAdmission.expectedWaitMs(job);
+        boolean tooLate =
+                mAdmission.tooLate(job, expectedWaitMs) && !mPlacement.hasFreeTargetFor(job);
+        if (tooLate && !job.mayHaveStarted()) {
+            refuse(offer.entryVm(), offer.number(), job, "would wait too long", expectedWaitMs);
             return;
         }
         mTerm.jobs().put(job.id(), job);
@@ -131,7 +137,7 @@
                                 + " age_ms="
                                 + offer.ageMs()
                                 + " wait_ms="
-                                + waitMs
+                                + expectedWaitMs
                                 + " objective_ms="
                                 + objectiveMs
                                 + " controllers="
@@ -144,12 +150,13 @@
         return mTerm.areTargetsKnown() && !mPlacement.isFeasible(job.request());
     }
 
-    private void refuse(String entry, long number, CellJob job, String reason, long waitMs) {
+    private void refuse(
+            String entryVm, long number, CellJob job, String reason, long expectedWaitMs) {
         Optional<Long> startedIn = mTerm.startedIn(job.id());
         Verdict verdict =
                 job.mayHaveStarted() || startedIn.isPresent()
                         ? new Verdict.InDoubt(reason)
-                        : new Verdict.Declined(reason, mAdmission.retryAfterMs(waitMs));
+                        : new Verdict.Declined(reason, mAdmission.retryAfterMs(expectedWaitMs));
         mTerm.log(
                 Decision.job(
                         "refuse",
@@ -157,51 +164,52 @@
                         "queue="
                                 + job.request().queue()
                                 + " wait_ms="
-                                + waitMs
+                                + expectedWaitMs
                                 + " objective_ms="
                                 + job.objectiveMs()
                                 + startedIn.map(fence -> " started_in=" + fence).orElse(""),
                         reason));
-        OfferKey waiter = new OfferKey(entry, job.id());
-        // Taken out first: an entry that is written over would keep its place among the oldest.
-        mRefusals.remove(waiter);
-        mRefusals.put(waiter, new Refusal(number, mTerm.nowMs()));
-        answer(entry, job.id(), number, verdict);
+        OfferKey key = new OfferKey(entryVm, job.id());
+        // Removed first, because replacing the value would keep the entry's old insertion order.
+        mRefusals.remove(key);
+        mRefusals.put(key, new Refusal(number, mTerm.nowMs()));
+        answer(entryVm, job.id(), number, verdict);
     }
 
     /**
-     * Refuses waiting jobs of which nothing has started and nothing can be of use any more. Held
-     * until its time was over, such a caller lost a second or more in which it could have come
-     * back, and was not told whether its job had run.
+     * Refuses waiting jobs that have not started and whose answer would come too late to be of use.
+     * If such a job were held until its deadline, its caller would lose a second or more in which
+     * it could have retried, and would not be told whether the job had run.
      */
     private void refuseExpired() {
         refuseWaiting(job -> mTerm.nowMs() > job.lastUsefulStartMs(), "waited too long");
     }
 
     /**
-     * Refuses waiting jobs that no target can hold any more, now that targets have gone, have less
-     * room, or are in a failure domain that is to be emptied.
+     * Refuses waiting jobs that no target can hold, after targets have left, have lost capacity or
+     * are in an evacuated failure domain.
      */
     void refuseInfeasible() {
         refuseWaiting(this::isInfeasible, INFEASIBLE_REASON);
     }
 
-    private void refuseWaiting(Predicate<CellJob> hopeless, String reason) {
+    private void refuseWaiting(Predicate<CellJob> condition, String reason) {
         List<CellJob> refused = new ArrayList<>();
         for (CellJob job : mTerm.waiting()) {
             boolean wanted = !job.offersByEntryVm().isEmpty() && !job.mayHaveStarted();
-            if (wanted && hopeless.test(job)) {
+            if (wanted && condition.test(job)) {
                 refused.add(job);
             }
         }
         for (CellJob job : refused) {
             drop(job);
-            job.offersByEntryVm().forEach((entry, number) -> refuse(entry, number, job, reason, 0));
+            job.offersByEntryVm()
+                    .forEach((entryVm, number) -> refuse(entryVm, number, job, reason, 0));
         }
     }
 
-    private void answer(String entry, String job, long number, Verdict verdict) {
-        mTerm.emit(new CellAction.Answer(entry, job, number, verdict));
+    private void answer(String entryVm, String job, long number, Verdict verdict) {
+        mTerm.emit(new CellAction.Answer(entryVm, job, number, verdict));
     }
 
     void withdrawn(CellEvent.Withdrawn event) {
@@ -212,16 +220,17 @@
         job.offersByEntryVm().remove(event.entryVm());
         if (job.offersByEntryVm().isEmpty() && !job.abandoned()) {
             job.abandon(mTerm.nowMs());
-            mTerm.log(Decision.job("abandon", job.id(), "callers=0", "starts nothing more"));
+            mTerm.log(Decision.job("abandon", job.id(), "callers=0", "no more tasks are started"));
         }
     }
 
-    /** Ends a job: tells its callers, keeps the verdict, stops what still runs. */
+    /** Ends a job: answers its callers, keeps the verdict and stops its remaining runs. */
     void end(CellJob job, Verdict verdict) {
         drop(job);
         mVerdicts.remove(job.id());
         mVerdicts.put(job.id(), new KeptVerdict(verdict, mTerm.nowMs()));
-        job.offersByEntryVm().forEach((entry, offer) -> answer(entry, job.id(), offer, verdict));
+        job.offersByEntryVm()
+                .forEach((entryVm, offer) -> answer(entryVm, job.id(), offer, verdict));
         for (CellTask task : job.tasks()) {
             task.run().ifPresent(mRuns::stop);
         }
@@ -245,8 +254,8 @@
     }
 
     /**
-     * Removes entries from the oldest on; they stand in the order in which they were made, so that
-     * none has to be looked at that stays.
+     * Removes entries older than {@code beforeMs}. The entries are in insertion order, so the scan
+     * stops at the first one to keep.
      */
     private static <T> void removeOlderThan(
             Collection<T> entries, ToLongFunction<T> atMs, long beforeMs) {
@@ -261,14 +270,14 @@
         removeOlderThan(mRefusals.values(), Refusal::atMs, mTerm.nowMs() - REFUSAL_RETENTION_MS);
         removeOlderThan(
                 mVerdicts.values(), KeptVerdict::atMs, mTerm.nowMs() - VERDICT_RETENTION_MS);
-        List<CellJob> gone = new ArrayList<>();
+        List<CellJob> expired = new ArrayList<>();
         for (CellJob job : mTerm.jobs().values()) {
-            boolean unwanted =
+            boolean retentionOver =
                     job.abandoned() && mTerm.nowMs() - job.abandonedMs() > ABANDONED_RETENTION_MS;
-            if (unwanted && !job.hasRuns()) {
-                gone.add(job);
+            if (retentionOver && !job.hasRuns()) {
+                expired.add(job);
             }
         }
-        gone.forEach(this::drop);
+        expired.forEach(this::drop);
     }
 }
--- a/core/src/main/java/org/boragegap/core/cell/JobRequest.java
+++ b/core/src/main/java/org/boragegap/core/cell/JobRequest.java
@@ -3,18 +3,18 @@
 import java.util.List;
 
 /**
- * A job as a caller handed it in, with what the configuration in force says of its queue.
+ * A job as submitted by a caller, with the settings of its queue in the active configuration.
  *
- * @param id chosen by the caller; the same id is the same job
- * @param queue name of the route on which it came
- * @param service whose targets run it
+ * @param id chosen by the caller; requests with the same id are the same job
+ * @param queue name of the route that it arrived on
+ * @param service service whose targets run it
  * @param urgency 0 is the most urgent
- * @param maxAttempts failed runs of one task after which the job has failed
- * @param stretch the objective is this many times the longest chain of work, plus {@code
+ * @param maxAttempts number of failed runs of one task after which the job fails
+ * @param stretch the objective is this factor times the longest chain of steps, plus {@code
  *     objectiveBaseMs}
- * @param objectiveBaseMs see {@code stretch}
- * @param spec passed on to the targets as it is
- * @param steps what to run
+ * @param objectiveBaseMs constant part of the objective, in ms; see {@code stretch}
+ * @param spec passed on to the targets unchanged
+ * @param steps the steps to run
  * @param configVersion version of the configuration that routed it
  */
 public record JobRequest(
--- a/core/src/main/java/org/boragegap/core/cell/PendingJobs.java
+++ b/core/src/main/java/org/boragegap/core/cell/PendingJobs.java
@@ -8,31 +8,36 @@
 import org.boragegap.core.ClockReading;
 
 /**
- * Keeps what the callers of one entry VM wait for, and hands it to whoever controls the cell.
+ * Holds the jobs that callers of one entry VM wait for, and offers them to the current controller
+ * of the cell.
  *
- * <p>The entry VM holds each job until it is answered. When a controller is replaced, the jobs are
- * offered to the next one: no waiting job depends on the memory of a single VM.
+ * <p>The entry VM keeps each job until it is answered. When the controller changes, the pending
+ * jobs are offered to the new one, so no pending job depends on the memory of a controller.
  */
 public final class PendingJobs {
     /**
-     * How long a job may wait for a controller to be known, in ms. A planned hand-over takes some
-     * ten ms; a caller is better served by coming back than by waiting longer.
+     * How long a job may wait until a controller is known, in ms. A planned handover takes some ten
+     * ms; after a longer wait, a retry serves the caller better.
      */
     private static final long CONTROLLER_WAIT_MS = 250;
 
-    /** When a caller should come back after a refusal for want of a controller, in ms. */
+    /** Retry delay for a caller that was refused because no controller is known, in ms. */
     private static final long RETRY_AFTER_MS = 1_000;
 
-    /** A job without a verdict is offered again after this time, in ms: a frame may be lost. */
+    /**
+     * A job without a verdict is offered again after this time, in ms, because a message may be
+     * lost.
+     */
     private static final long REOFFER_AFTER_MS = 1_000;
 
     /**
-     * Bits of an offer's number below those of the time in ms: a life that makes fewer offers per
-     * ms than these can count never reaches the numbers of the next.
+     * Number of low bits of an offer number, below the time in ms. As long as a process makes fewer
+     * offers per ms than these bits can count, its numbers stay below those of the process that
+     * runs after the next restart.
      */
     private static final int OFFERS_PER_MS_BITS = 20;
 
-    private final HeartbeatTiming mPace;
+    private final HeartbeatTiming mTiming;
     private final Map<String, PendingJob> mPending = new HashMap<>();
     private final Map<Long, String> mJobByTicket = new HashMap<>();
     private final RecentJobs<OfferHistory> mOfferHistories = new RecentJobs<>();
@@ -42,10 +47,11 @@
     private boolean mDraining;
 
     /**
-     * Numbers of offers begin with the time at which this process began, so that those of its later
-     * lives are higher, and no answer to one life's offer is taken for one to another's. If the
-     * clock was set back meanwhile by more than the VM was down, the controller takes new offers of
-     * a job that it refused before for late ones, for as long as it remembers the refusal.
+     * Offer numbers start from the wall clock at process start. The numbers of a restarted process
+     * are therefore higher than those before the restart, and an answer to an offer of one process
+     * is never matched to an offer of another. If the clock was set back by more than the downtime,
+     * the controller treats new offers of a job that it refused before as delayed ones, for as long
+     * as it remembers the refusal.
      */
     private long mNextOfferNumber;
 
@@ -55,10 +61,10 @@
     private record Caller(long ticket, long arrivedMs, long deadlineMs) {}
 
     /**
-     * What became of a job so far.
+     * The controllers that a job has been offered to.
      *
-     * @param controllers to how many controllers it has been offered
-     * @param fence fencing token of the last of them
+     * @param controllers number of controllers
+     * @param fence fencing token of the last one
      */
     private record OfferHistory(int controllers, long fence) {
         static final OfferHistory NONE = new OfferHistory(0, 0);
@@ -67,7 +73,10 @@
             return newFence == fence ? this : new OfferHistory(controllers + 1, newFence);
         }
 
-        /** Answer to a caller whose job isn't handed over now, nor will be. */
+        /**
+         * Verdict for a caller whose job is not pending at a controller and will not be offered
+         * again. Without an offer on record, the job is declined; otherwise it may have run.
+         */
         Verdict refusal(String reason) {
             return controllers == 0
                     ? new Verdict.Declined(reason, RETRY_AFTER_MS)
@@ -82,17 +91,17 @@
         private long mOfferNumber;
         private long mLastOfferMs;
 
-        private PendingJob(JobRequest request, OfferHistory before) {
+        private PendingJob(JobRequest request, OfferHistory offerHistory) {
             mRequest = request;
-            mOfferHistory = before;
+            mOfferHistory = offerHistory;
         }
 
-        /** True when it was offered since it waits. */
+        /** True when the job has been offered since it became pending. */
         private boolean offered() {
             return mOfferNumber > 0;
         }
 
-        /** When the last of its callers gives up. */
+        /** Latest deadline of its callers; 0 without callers. */
         private long deadlineMs() {
             return mCallers.stream().mapToLong(Caller::deadlineMs).max().orElse(0);
         }
@@ -102,53 +111,54 @@
         }
     }
 
-    private PendingJobs(HeartbeatTiming pace, ClockReading began) {
-        mPace = pace;
-        mNextOfferNumber = (began.wallMs() << OFFERS_PER_MS_BITS) + 1;
+    private PendingJobs(HeartbeatTiming timing, ClockReading start) {
+        mTiming = timing;
+        mNextOfferNumber = (start.wallMs() << OFFERS_PER_MS_BITS) + 1;
     }
 
     /**
-     * Makes a desk at which nobody waits.
+     * Creates an instance without pending jobs.
      *
-     * @param began when this process began
+     * @param timing when a controller counts as lost
+     * @param start clock reading at process start
      */
-    static PendingJobs create(HeartbeatTiming pace, ClockReading began) {
-        return new PendingJobs(pace, began);
+    static PendingJobs create(HeartbeatTiming timing, ClockReading start) {
+        return new PendingJobs(timing, start);
     }
 
     /**
-     * Address of the controller, if one was heard of lately. After a silence of some heartbeats no
-     * more jobs are handed to it: what is handed to a controller that is lost, or beyond a cut,
-     * can't be refused as not run any more, and ends in doubt when its time is over.
+     * Address of the controller; empty after several heartbeat periods of silence, when no more
+     * jobs are offered to it. A job that was offered to a lost or partitioned controller can no
+     * longer be refused as not run, and ends in doubt at its deadline.
      */
     public Optional<String> controller(long nowMs) {
-        boolean silent = mController.isEmpty() || nowMs - mLastHeardMs > mPace.lostAfterMs();
-        return silent ? Optional.empty() : Optional.of(mController);
+        boolean lost = mController.isEmpty() || nowMs - mLastHeardMs > mTiming.lostAfterMs();
+        return lost ? Optional.empty() : Optional.of(mController);
     }
 
-    /** When a controller was last heard of; empty when none ever was. */
+    /** Time of the last heartbeat of a controller; empty if there was none. */
     Optional<Long> lastHeardMs() {
         return mFence == 0 ? Optional.empty() : Optional.of(mLastHeardMs);
     }
 
-    /** This VM was held up, so that it could not hear the controller meanwhile. */
-    void compensateForStall(long forMs, long nowMs) {
+    /** Extends the permitted silence after this VM was stalled and could not process heartbeats. */
+    void compensateForStall(long stallMs, long nowMs) {
         if (!mController.isEmpty()) {
-            mLastHeardMs = Math.min(nowMs, mLastHeardMs + forMs);
+            mLastHeardMs = Math.min(nowMs, mLastHeardMs + stallMs);
         }
     }
 
-    /** Highest fencing token heard of. */
+    /** Highest fencing token seen in a heartbeat. */
     public long fence() {
         return mFence;
     }
 
-    /** How many callers wait. */
+    /** Number of waiting callers. */
     public int waitingCallers() {
         return mJobByTicket.size();
     }
 
-    /** Handles an event; what is to be done is added to {@code actions}. */
+    /** Handles an event and adds the resulting actions to {@code actions}. */
     public void on(EntryEvent event, ClockReading clock, List<EntryAction> actions) {
         mNowMs = clock.monotonicMs();
         mActions = actions;
@@ -173,20 +183,20 @@
         String id = event.request().id();
         Caller caller = new Caller(event.ticket(), mNowMs, mNowMs + event.budgetMs());
         if (mDraining) {
-            reply(caller, id, offerHistory(id).refusal("this VM is stopping"));
+            reply(caller, id, offerHistory(id).refusal("this VM is shutting down"));
             return;
         }
         mJobByTicket.put(event.ticket(), id);
-        PendingJob waiting = mPending.get(id);
-        if (waiting != null) {
-            waiting.mCallers.add(caller);
+        PendingJob pending = mPending.get(id);
+        if (pending != null) {
+            pending.mCallers.add(caller);
             return;
         }
-        waiting = new PendingJob(event.request(), offerHistory(id));
-        waiting.mCallers.add(caller);
-        mPending.put(id, waiting);
+        pending = new PendingJob(event.request(), offerHistory(id));
+        pending.mCallers.add(caller);
+        mPending.put(id, pending);
         if (controller(mNowMs).isPresent()) {
-            offer(waiting);
+            offer(pending);
         }
     }
 
@@ -194,20 +204,20 @@
         return mOfferHistories.find(job, mNowMs).orElse(OfferHistory.NONE);
     }
 
-    private void offer(PendingJob waiting) {
-        waiting.mOfferHistory = waiting.mOfferHistory.withOfferTo(mFence);
-        mOfferHistories.remember(waiting.mRequest.id(), waiting.mOfferHistory, mNowMs);
-        waiting.mLastOfferMs = mNowMs;
-        waiting.mOfferNumber = mNextOfferNumber++;
-        long arrivedMs = waiting.arrivedMs();
+    private void offer(PendingJob pending) {
+        pending.mOfferHistory = pending.mOfferHistory.withOfferTo(mFence);
+        mOfferHistories.remember(pending.mRequest.id(), pending.mOfferHistory, mNowMs);
+        pending.mLastOfferMs = mNowMs;
+        pending.mOfferNumber = mNextOfferNumber++;
+        long arrivedMs = pending.arrivedMs();
         CellMessage message =
                 new CellMessage.Offer(
                         mFence,
-                        waiting.mRequest,
+                        pending.mRequest,
                         mNowMs - arrivedMs,
-                        waiting.deadlineMs() - arrivedMs,
-                        waiting.mOfferHistory.controllers(),
-                        waiting.mOfferNumber);
+                        pending.deadlineMs() - arrivedMs,
+                        pending.mOfferHistory.controllers(),
+                        pending.mOfferNumber);
         mActions.add(new EntryAction.Send(mController, message));
     }
 
@@ -222,19 +232,19 @@
         if (id == null) {
             return;
         }
-        PendingJob waiting = mPending.get(id);
-        waiting.mCallers.removeIf(caller -> caller.ticket() == ticket);
-        if (waiting.mCallers.isEmpty()) {
-            withdraw(id, "caller left");
+        PendingJob pending = mPending.get(id);
+        pending.mCallers.removeIf(caller -> caller.ticket() == ticket);
+        if (pending.mCallers.isEmpty()) {
+            withdraw(id, "the last caller disconnected");
         }
     }
 
     private void withdraw(String id, String cause) {
-        PendingJob waiting = mPending.remove(id);
-        if (waiting.offered() && !mController.isEmpty()) {
+        PendingJob pending = mPending.remove(id);
+        if (pending.offered() && !mController.isEmpty()) {
             mActions.add(new EntryAction.Send(mController, new CellMessage.Withdraw(id)));
         }
-        int controllers = waiting.mOfferHistory.controllers();
+        int controllers = pending.mOfferHistory.controllers();
         mActions.add(
                 new EntryAction.Log(
                         Decision.job("withdraw", id, "controllers=" + controllers, cause)));
@@ -244,19 +254,21 @@
         if (heard.fence() < mFence) {
             return;
         }
-        boolean another = heard.fence() > mFence;
-        boolean back = controller(mNowMs).isEmpty();
+        boolean newTerm = heard.fence() > mFence;
+        boolean wasLost = controller(mNowMs).isEmpty();
         mController = heard.address();
         mFence = heard.fence();
         mLastHeardMs = mNowMs;
-        if (another) {
+        if (newTerm) {
             String inputs = "fence=" + mFence + " address=" + mController;
             mActions.add(
                     new EntryAction.Log(
                             Decision.self(
-                                    "controller", inputs, mPending.size() + " jobs offered")));
+                                    "controller",
+                                    inputs,
+                                    mPending.size() + " pending jobs offered")));
         }
-        if (another || back) {
+        if (newTerm || wasLost) {
             mPending.values().forEach(this::offer);
         }
     }
@@ -264,58 +276,62 @@
     private void controllerLeft(long fence) {
         if (fence == mFence) {
             mController = "";
-            mLastHeardMs = mNowMs - mPace.lostAfterMs();
+            mLastHeardMs = mNowMs - mTiming.lostAfterMs();
         }
     }
 
     private void decided(EntryEvent.Decided event) {
-        PendingJob waiting = mPending.get(event.job());
-        if (waiting == null || isOutdated(waiting, event)) {
+        PendingJob pending = mPending.get(event.job());
+        if (pending == null || isOutdated(pending, event)) {
             return;
         }
         mPending.remove(event.job());
         if (event.verdict() instanceof Verdict.Declined) {
             mOfferHistories.forget(event.job());
         }
-        for (Caller caller : waiting.mCallers) {
+        for (Caller caller : pending.mCallers) {
             reply(caller, event.job(), event.verdict());
         }
     }
 
     /**
-     * Guards against a refusal that isn't true any more. A controller that was cut off refuses a
-     * job; the job was offered again meanwhile, and the next controller has started it. Told to the
-     * caller, the late refusal would deny work that runs. Only the answer to the last offer counts.
+     * True for a refusal that may no longer hold. For example, a partitioned controller refuses a
+     * job that has meanwhile been offered to the next controller and started there; reported to the
+     * caller, the late refusal would deny that the job runs. Only the answer to the last offer
+     * counts, except for the end of a job, which stays true.
      */
-    private static boolean isOutdated(PendingJob waiting, EntryEvent.Decided event) {
+    private static boolean isOutdated(PendingJob pending, EntryEvent.Decided event) {
         boolean ended =
                 event.verdict() instanceof Verdict.Completed
                         || event.verdict() instanceof Verdict.Failed;
-        return !ended && event.number() != waiting.mOfferNumber;
+        return !ended && event.number() != pending.mOfferNumber;
     }
 
     private void tick() {
-        boolean known = controller(mNowMs).isPresent();
-        for (PendingJob waiting : new ArrayList<>(mPending.values())) {
-            answerExpired(waiting);
-            if (waiting.mCallers.isEmpty()) {
-                withdraw(waiting.mRequest.id(), "time is over");
-            } else if (known && mNowMs - waiting.mLastOfferMs > REOFFER_AFTER_MS) {
-                offer(waiting);
+        boolean controllerKnown = controller(mNowMs).isPresent();
+        for (PendingJob pending : new ArrayList<>(mPending.values())) {
+            answerExpired(pending);
+            if (pending.mCallers.isEmpty()) {
+                withdraw(pending.mRequest.id(), "no caller is waiting any more");
+            } else if (controllerKnown && mNowMs - pending.mLastOfferMs > REOFFER_AFTER_MS) {
+                offer(pending);
             }
         }
     }
 
-    /** Answers the callers of this job whose time is over, or whom nobody can serve. */
-    private void answerExpired(PendingJob waiting) {
-        String id = waiting.mRequest.id();
-        for (Caller caller : List.copyOf(waiting.mCallers)) {
-            if (!waiting.offered() && mNowMs - caller.arrivedMs() > CONTROLLER_WAIT_MS) {
-                waiting.mCallers.remove(caller);
-                reply(caller, id, waiting.mOfferHistory.refusal("no controller is known"));
+    /**
+     * Answers the callers of this job whose deadline has passed, or that waited too long for a
+     * controller.
+     */
+    private void answerExpired(PendingJob pending) {
+        String id = pending.mRequest.id();
+        for (Caller caller : List.copyOf(pending.mCallers)) {
+            if (!pending.offered() && mNowMs - caller.arrivedMs() > CONTROLLER_WAIT_MS) {
+                pending.mCallers.remove(caller);
+                reply(caller, id, pending.mOfferHistory.refusal("no controller is known"));
             } else if (mNowMs >= caller.deadlineMs()) {
-                waiting.mCallers.remove(caller);
-                reply(caller, id, new Verdict.InDoubt("no verdict in time"));
+                pending.mCallers.remove(caller);
+                reply(caller, id, new Verdict.InDoubt("no verdict before the deadline"));
             }
         }
     }
--- a/core/src/main/java/org/boragegap/core/cell/RecentJobs.java
+++ b/core/src/main/java/org/boragegap/core/cell/RecentJobs.java
@@ -6,25 +6,30 @@
 import java.util.Optional;
 
 /**
- * Remembers something of each of the last jobs, for a while: after a job is no longer in hand, a
- * caller that comes back must not be told that it never ran.
+ * Remembers a value for each recent job for a limited time. A caller may return after its job has
+ * been dropped and must not be told that the job never ran.
+ *
+ * @param <T> type of the remembered value
  */
 final class RecentJobs<T> {
-    /** How long a job is remembered, in ms; callers come back within seconds. */
+    /** How long a job is remembered, in ms; callers return within seconds. */
     static final long RETENTION_MS = 60_000;
 
-    /** Most jobs that are remembered. */
+    /** Maximum number of remembered jobs. */
     static final int MAX_JOBS = 20_000;
 
     private record Entry<T>(T value, long atMs) {}
 
     private final Map<String, Entry<T>> mEntries = new LinkedHashMap<>();
 
-    /** Remembers the job from now on, in place of what was remembered of it before. */
-    void remember(String job, T what, long nowMs) {
-        // Taken out first: an entry that is written over would keep its place among the oldest.
+    /**
+     * Remembers a value for the job, replacing any earlier one, and evicts expired and excess
+     * entries.
+     */
+    void remember(String job, T value, long nowMs) {
+        // Removed first, because replacing the value would keep the entry's old insertion order.
         mEntries.remove(job);
-        mEntries.put(job, new Entry<>(what, nowMs));
+        mEntries.put(job, new Entry<>(value, nowMs));
         Iterator<Entry<T>> oldest = mEntries.values().iterator();
         while (isExpired(oldest.next(), nowMs) || mEntries.size() > MAX_JOBS) {
             oldest.remove();
--- a/core/src/main/java/org/boragegap/core/cell/Run.java
+++ b/core/src/main/java/org/boragegap/core/cell/Run.java
@@ -1,17 +1,17 @@
 package org.boragegap.core.cell;
 
-/** One start of one task on one target, from the order until its end is known. */
+/** One attempt to run a task on a target, from the start order until its end is known. */
 final class Run {
     enum State {
-        /** The order to start is under way. */
+        /** The start order was sent and is not answered yet. */
         STARTING,
-        /** The order got no answer: the target may carry it out at any time. */
+        /** The start order got no answer in time: the target may still carry it out at any time. */
         UNCONFIRMED,
-        /** The target said that it runs. */
+        /** The target has confirmed that it runs. */
         RUNNING
     }
 
-    /** The pause before a stop is sent again doubles this often at most. */
+    /** How many times the timeout before a stop order is sent again is doubled at most. */
     private static final int MAX_STOP_DOUBLINGS = 3;
 
     private final CellTask mTask;
@@ -71,7 +71,7 @@
         mLastReportedMs = nowMs;
     }
 
-    /** When a report last listed it at work; 0 for never. */
+    /** When a report last listed the run as running; 0 if none did. */
     long lastReportedMs() {
         return mLastReportedMs;
     }
@@ -90,12 +90,17 @@
         }
     }
 
-    /** True when only a report asked for from now on can tell what became of it. */
+    /**
+     * True when only a report requested from now on can tell whether the target carried out the
+     * start.
+     */
     boolean awaitsReport() {
         return mState == State.UNCONFIRMED && (!stopRequested() || mStopAcknowledged);
     }
 
-    /** True when a report asked for at {@code sentMs} was asked for after the order failed. */
+    /**
+     * True when a report requested at {@code sentMs} was requested after the start order timed out.
+     */
     boolean unconfirmedBefore(long sentMs) {
         return mState == State.UNCONFIRMED && mUnconfirmedSinceMs <= sentMs;
     }
@@ -109,7 +114,10 @@
         return mStopsSent > 0;
     }
 
-    /** True when a stop was asked for and not acknowledged in time; longer with each one sent. */
+    /**
+     * True when a stop order was not acknowledged within the timeout, which doubles with each stop
+     * sent.
+     */
     boolean stopOverdue(long nowMs, long timeoutMs) {
         int doublings = Math.min(mStopsSent - 1, MAX_STOP_DOUBLINGS);
         return stopRequested()
@@ -117,7 +125,7 @@
                 && nowMs - mStopSentMs > timeoutMs << doublings;
     }
 
-    /** True when the answer to the order to start is overdue. */
+    /** True when the answer to the start order is overdue. */
     boolean startOverdue(long nowMs, long timeoutMs) {
         return mState == State.STARTING && nowMs - mOrderedMs > timeoutMs;
     }
@@ -128,8 +136,9 @@
     }
 
     /**
-     * True when a report asked for at {@code sentMs} that doesn't list this run proves that it does
-     * not run and never will: the target had confirmed it, or had promised to reject it, before.
+     * True when the absence of this run from a report requested at {@code sentMs} proves that it
+     * does not run and never will: before that time, the target had confirmed the run, or had
+     * acknowledged the stop and so rejects its start.
      */
     boolean absenceIsConclusive(long sentMs) {
         boolean confirmed = mState == State.RUNNING && mConfirmedMs < sentMs;
--- a/core/src/main/java/org/boragegap/core/cell/RunTimeEstimator.java
+++ b/core/src/main/java/org/boragegap/core/cell/RunTimeEstimator.java
@@ -4,20 +4,24 @@
 import java.util.Map;
 
 /**
- * Learns how long tasks of a queue run, since callers' estimates are often far off.
+ * Estimates task run times per queue from completed runs, because callers' estimates are often
+ * inaccurate.
  *
- * <p>Two things are learned per queue, as moving means over all targets: the run time, and how it
- * relates to the estimate. The expectation is their geometric mean: the estimate tells tasks of one
- * queue apart, the mean corrects what the estimate gets wrong.
+ * <p>For each queue it keeps two moving averages over all targets: the run time, and the ratio of
+ * the run time to the caller's estimate. The expected run time is the geometric mean of the average
+ * run time and the estimate corrected by the average ratio: the estimate distinguishes tasks of one
+ * queue, and the average compensates for errors in the estimate.
  */
 final class RunTimeEstimator {
-    /** Weight of a new sample: about the last fifty tasks decide. */
+    /** Weight of a new sample: the average covers about the last fifty tasks. */
     private static final double SAMPLE_WEIGHT = 0.02;
 
-    /** Samples before the learned values count. */
+    /** Number of samples before the averages are used. */
     private static final int MIN_SAMPLES = 10;
 
-    /** Assumed for a task without an estimate of a queue not seen yet, in ms. */
+    /**
+     * Run time assumed for a task without an estimate while its queue has too few samples, in ms.
+     */
     private static final double DEFAULT_MS = 200;
 
     private static final class QueueStats {
@@ -36,21 +40,21 @@
 
     private final Map<String, QueueStats> mQueues = new HashMap<>();
 
-    /** Takes a finished run. */
+    /** Adds the run time of a completed run. */
     void add(String queue, StepRequest step, double tookMs) {
         mQueues.computeIfAbsent(queue, name -> new QueueStats()).add(tookMs, step.estimateMs());
     }
 
-    /** Expected run time on a target of middling speed, in ms. */
+    /** Expected run time on a target of average speed, in ms. */
     double expectedMs(String queue, StepRequest step) {
-        QueueStats seen = mQueues.get(queue);
-        boolean known = seen != null && seen.mCount >= MIN_SAMPLES;
+        QueueStats stats = mQueues.get(queue);
+        boolean known = stats != null && stats.mCount >= MIN_SAMPLES;
         if (step.estimateMs() <= 0) {
-            return known ? seen.mMeanMs : DEFAULT_MS;
+            return known ? stats.mMeanMs : DEFAULT_MS;
         }
         if (!known) {
             return step.estimateMs();
         }
-        return Math.sqrt(step.estimateMs() * seen.mRatio * seen.mMeanMs);
+        return Math.sqrt(step.estimateMs() * stats.mRatio * stats.mMeanMs);
     }
 }
--- a/core/src/main/java/org/boragegap/core/cell/RunTracker.java
+++ b/core/src/main/java/org/boragegap/core/cell/RunTracker.java
@@ -9,33 +9,34 @@
 import java.util.Set;
 
 /**
- * Follows each run from the order to start it until its end is known.
+ * Tracks each run from its start order until its end is known.
  *
- * <p>An order without an answer may be carried out seconds later. Its task starts nowhere else
- * until that is ruled out: the target is asked at once; what it doesn't list is stopped, so that it
- * rejects that run from then on; or its lease is over.
+ * <p>An unanswered start order may be carried out seconds later. Its task is not started elsewhere
+ * until that is ruled out: the target is asked for a report at once, and a run that is not listed
+ * is stopped, so that the target rejects its start from then on; otherwise the target's lease has
+ * to expire.
  */
 final class RunTracker {
     /**
-     * How long a target to which nothing could be sent is given no work, in ms; some round trips.
-     * It doesn't count as the target's failure: sound targets would be out of use for seconds after
-     * a cut had healed.
+     * How long a target is given no work after an order to it could not be sent, in ms; a few round
+     * trips. This does not count as a failure of the target: healthy targets would be out of use
+     * for seconds after a network partition has healed.
      */
     private static final long UNREACHABLE_BACKOFF_MS = 100;
 
     /**
-     * How long runs whose job nobody has offered are left alone, in ms. Entry VMs offer again as
-     * soon as they hear of a new controller, which takes a heartbeat or two.
+     * How long foreign runs, whose job has not been offered, are left running, in ms. Entry VMs
+     * offer their jobs again when they first hear of a new controller, within a heartbeat or two.
      */
     private static final long FOREIGN_GRACE_MS = 600;
 
-    /** Ends of jobs that nobody has offered are kept up to this number; a few seconds' worth. */
+    /** Maximum number of done tasks of jobs not offered yet to keep; a few seconds' worth. */
     private static final int MAX_FOREIGN_DONE = 5_000;
 
-    /** An end is worth a line when its run took this many times as long as expected. */
+    /** A run's end is logged if the run took more than this multiple of the expected time. */
     private static final double SLOW_RUN_LOG_FACTOR = 1.5;
 
-    /** Run numbers passed over when a target says that it has seen a higher one. */
+    /** Number of run numbers to skip when a target reports that it has seen a higher one. */
     private static final int RUN_NUMBERS_TO_SKIP = 3;
 
     private final Term mTerm;
@@ -46,20 +47,20 @@
     private LeaseManager mLeases;
     private final CrashDetector mCrashes;
 
-    RunTracker(Term term, RunTimeEstimator times, CrashDetector crashes) {
+    RunTracker(Term term, RunTimeEstimator runTimes, CrashDetector crashes) {
         mTerm = term;
-        mRunTimes = times;
+        mRunTimes = runTimes;
         mCrashes = crashes;
-        mHealth = new TargetHealth(term, times);
+        mHealth = new TargetHealth(term, runTimes);
     }
 
-    /** Connects what depends on each other; to be called once, before use. */
+    /** Sets the collaborators with circular dependencies. Has to be called once, before use. */
     void connect(JobLifecycle jobs, LeaseManager leases) {
         mJobs = jobs;
         mLeases = leases;
     }
 
-    /** Orders the start of a task; the caller logs it, with the others of its job. */
+    /** Orders the start of a task. The caller logs it together with the other starts of the job. */
     Run start(CellTask task, Target target) {
         int number = task.takeRunNumber();
         Run run = new Run(task, number, target, mTerm.nowMs(), Run.State.STARTING);
@@ -71,7 +72,7 @@
         return run;
     }
 
-    /** Logs what was started of a job, on one line: lines cost processor time. */
+    /** Logs all starts of a job on one line, because each log line costs CPU time. */
     void logStarts(CellJob job, List<Run> runs) {
         if (runs.isEmpty()) {
             return;
@@ -135,11 +136,11 @@
             case UNKNOWN -> startUnanswered(run);
             case FENCED -> mTerm.emit(new CellAction.Deposed());
             case NOT_SENT, OLD_RUN, NOT_RUN, NO_ROOM, OTHER_INCARNATION -> startFailed(run, result);
-            default -> throw new IllegalArgumentException("no such result: " + result);
+            default -> throw new IllegalArgumentException("unknown order result: " + result);
         }
     }
 
-    /** The order got no answer: the target is asked whether it runs. */
+    /** Handles a start order without an answer: asks the target whether the task runs. */
     private void startUnanswered(Run run) {
         if (run.state() == Run.State.STARTING) {
             run.markUnconfirmed(mTerm.nowMs());
@@ -164,7 +165,7 @@
         }
     }
 
-    /** Frees the run's room and lets its task start again. */
+    /** Frees the run's capacity and allows its task to be started again. */
     private void release(Run run, String cause) {
         run.target().remove(run);
         if (run.task().run().filter(current -> current == run).isPresent()) {
@@ -206,96 +207,96 @@
     private void stopAcknowledged(Run run) {
         run.stopAcknowledged(mTerm.nowMs());
         if (run.state() == Run.State.UNCONFIRMED) {
-            // Only a report that is asked for now can show that its room is free.
+            // Only a report requested from now on can show that its capacity is free.
             mLeases.requestNewReport(run.target());
         }
     }
 
-    /** Takes the ends of a report; {@code exact} when they came about just now. */
+    /** Processes the ended runs of a report; {@code exact} means that they ended just now. */
     void ended(Target target, TargetReport report, boolean exact) {
-        for (TargetReport.EndedRun row : report.ended()) {
-            if (row.endSequence() > target.acknowledged()) {
-                ended(target, row, exact);
-                target.acknowledge(row.endSequence());
+        for (TargetReport.EndedRun endedRun : report.ended()) {
+            if (endedRun.endSequence() > target.acknowledged()) {
+                ended(target, endedRun, exact);
+                target.acknowledge(endedRun.endSequence());
             }
         }
     }
 
     /**
-     * Takes a report.
+     * Processes a report.
      *
-     * @param sentMs when it was asked for
-     * @param exact true when what has ended has ended just now
+     * @param sentMs when the report was requested
+     * @param exact true when the runs that it lists as ended have ended just now
      */
     void reported(Target target, TargetReport report, long sentMs, boolean exact) {
         ended(target, report, exact);
-        Map<TaskName, TargetReport.ActiveRun> listed = new HashMap<>();
-        for (TargetReport.ActiveRun row : report.running()) {
-            listed.put(row.task(), row);
-            running(target, row);
+        Map<TaskName, TargetReport.ActiveRun> activeRuns = new HashMap<>();
+        for (TargetReport.ActiveRun activeRun : report.running()) {
+            activeRuns.put(activeRun.task(), activeRun);
+            running(target, activeRun);
         }
         if (!report.listsAllEnds()) {
             return;
         }
-        target.foreignRuns().keySet().removeIf(foreign -> !listed.containsKey(foreign.task()));
+        target.foreignRuns().keySet().removeIf(foreign -> !activeRuns.containsKey(foreign.task()));
         for (Run run : new ArrayList<>(target.runs().values())) {
-            if (listed.containsKey(run.task().name())) {
+            if (activeRuns.containsKey(run.task().name())) {
                 continue;
             }
             if (run.absenceIsConclusive(sentMs)) {
-                release(run, "not there");
+                release(run, "not in the target's report");
             } else if (run.unconfirmedBefore(sentMs) && !run.stopRequested()) {
                 stop(run);
             }
         }
     }
 
-    private void running(Target target, TargetReport.ActiveRun row) {
+    private void running(Target target, TargetReport.ActiveRun activeRun) {
         mTerm.recordRunSeen();
-        Run run = target.run(row.task(), row.run()).orElse(null);
+        Run run = target.run(activeRun.task(), activeRun.run()).orElse(null);
         if (run != null) {
-            run.updateProgress(row.percent(), mTerm.nowMs());
+            run.updateProgress(activeRun.percent(), mTerm.nowMs());
             return;
         }
-        mTerm.recordStarted(row.task().job());
-        Target.ForeignRun foreign = new Target.ForeignRun(row.task(), row.run());
+        mTerm.recordStarted(activeRun.task().job());
+        Target.ForeignRun foreign = new Target.ForeignRun(activeRun.task(), activeRun.run());
         target.foreignRuns().putIfAbsent(foreign, mTerm.nowMs());
-        CellJob job = mTerm.jobs().get(row.task().job());
+        CellJob job = mTerm.jobs().get(activeRun.task().job());
         if (job != null) {
             adoptRun(job, target, foreign);
         }
     }
 
-    private void ended(Target target, TargetReport.EndedRun row, boolean exact) {
-        Run run = target.run(row.task(), row.run()).orElse(null);
+    private void ended(Target target, TargetReport.EndedRun endedRun, boolean exact) {
+        Run run = target.run(endedRun.task(), endedRun.run()).orElse(null);
         if (run == null) {
-            target.foreignRuns().remove(new Target.ForeignRun(row.task(), row.run()));
-            foreignEnded(row);
+            target.foreignRuns().remove(new Target.ForeignRun(endedRun.task(), endedRun.run()));
+            foreignEnded(endedRun);
             return;
         }
         target.remove(run);
         CellTask task = run.task();
         boolean current = task.run().filter(r -> r == run).isPresent();
         CellJob job = task.job();
-        boolean wanted = mTerm.jobs().get(job.id()) == job;
-        logEnd(run, row.cause());
-        if (row.cause().done()) {
+        boolean jobOpen = mTerm.jobs().get(job.id()) == job;
+        logEnd(run, endedRun.cause());
+        if (endedRun.cause().done()) {
             if (exact) {
                 recordRunTime(run);
             }
             target.recordSuccess();
         }
-        if (current && wanted) {
-            applyEnd(task, row.cause());
+        if (current && jobOpen) {
+            applyEnd(task, endedRun.cause());
         }
-        if (row.cause().countsAsAttempt()) {
+        if (endedRun.cause().countsAsAttempt()) {
             mHealth.recordFailure(target);
         }
     }
 
     /**
-     * Logs an end that may tell why a request was late or failed. One that came as expected is told
-     * by the job's own line.
+     * Logs the end of a run that may explain a late or failed request. An end within the expected
+     * time is covered by the log line of the job.
      */
     private void logEnd(Run run, EndCause cause) {
         long tookMs = mTerm.nowMs() - run.confirmedMs();
@@ -331,12 +332,12 @@
         requeue(task);
     }
 
-    private void foreignEnded(TargetReport.EndedRun row) {
-        mTerm.recordStarted(row.task().job());
-        if (row.cause().done()) {
-            rememberDone(row.task());
+    private void foreignEnded(TargetReport.EndedRun endedRun) {
+        mTerm.recordStarted(endedRun.task().job());
+        if (endedRun.cause().done()) {
+            rememberDone(endedRun.task());
         }
-        CellJob job = mTerm.jobs().get(row.task().job());
+        CellJob job = mTerm.jobs().get(endedRun.task().job());
         if (job != null && markKnownDone(job)) {
             mJobs.end(job, new Verdict.Completed());
         }
@@ -360,7 +361,7 @@
         mRunTimes.add(queue, step, tookMs);
     }
 
-    /** Takes over what already runs of a job that was just taken on. */
+    /** Adopts the foreign runs of a newly admitted job. */
     void adopt(CellJob job) {
         for (Target target : mTerm.targets().values()) {
             for (Target.ForeignRun foreign : List.copyOf(target.foreignRuns().keySet())) {
@@ -372,26 +373,27 @@
     }
 
     /**
-     * Credits the job with what targets have reported as done; true when that was all of it. The
-     * ends stay known: the job may be refused now, and be offered again.
+     * Marks tasks of the job as done that targets have reported as done; true when these were the
+     * last open ones. The reported ends are kept, because the job may be refused now and offered
+     * again.
      */
     boolean markKnownDone(CellJob job) {
-        boolean all = false;
+        boolean allDone = false;
         for (CellTask task : job.tasks()) {
             if (!task.done() && mForeignDone.contains(task.name())) {
-                all = markKnownDone(task);
+                allDone = markKnownDone(task);
             }
         }
-        return all;
+        return allDone;
     }
 
-    /** The run that ended may have been taken for lost, so that the task runs again by now. */
+    /** Marks a task as done; stops a second run, started because the first seemed lost. */
     private boolean markKnownDone(CellTask task) {
         task.run().ifPresent(this::stop);
         task.job().markMayHaveStarted();
-        boolean all = task.job().finish(task);
+        boolean allDone = task.job().finish(task);
         requeue(task);
-        return all;
+        return allDone;
     }
 
     private void adoptRun(CellJob job, Target target, Target.ForeignRun foreign) {
@@ -408,7 +410,7 @@
                 Decision.run("adopt", task.name(), target.id(), "run=" + foreign.run(), "runs on"));
     }
 
-    /** Everything on the target has surely ended: its lease is over, or its incarnation is gone. */
+    /** Releases all runs on a target whose lease expired or whose incarnation was replaced. */
     void releaseAll(Target target, String cause) {
         for (Run run : new ArrayList<>(target.runs().values())) {
             release(run, cause);
@@ -440,7 +442,7 @@
         }
     }
 
-    /** The run takes far too long: is it stuck, or was its end not heard of? */
+    /** Handles a run that takes far too long: it is stuck, or the report of its end was lost. */
     private void handleOverdue(Run run) {
         if (!mHealth.isStuck(run)) {
             mLeases.requestReport(run.target());
@@ -455,12 +457,12 @@
                                 + (mTerm.nowMs() - run.confirmedMs())
                                 + " percent="
                                 + run.percent(),
-                        "stopped, to run elsewhere"));
+                        "stopped, to be started elsewhere"));
         mHealth.recordStuckRun(run);
         stop(run);
     }
 
-    /** When the next run there is expected to end, on our clock; some time ago if it is late. */
+    /** Expected end of the next run on the target, on this VM's clock; in the past if overdue. */
     long expectedNextEndMs(Target target) {
         long endMs = Long.MAX_VALUE;
         for (Run run : target.runs().values()) {
--- a/core/src/main/java/org/boragegap/core/cell/StepRequest.java
+++ b/core/src/main/java/org/boragegap/core/cell/StepRequest.java
@@ -4,17 +4,17 @@
 import java.util.Optional;
 
 /**
- * One step of a job: tasks that are alike.
+ * One step of a job: a number of identical tasks.
  *
  * @param count number of tasks
- * @param cpuMillis processor need of each, in thousandths of a core
- * @param memoryMb memory need of each, in MB
- * @param accelerators accelerators that each needs
+ * @param cpuMillis CPU demand of each task, in thousandths of a core
+ * @param memoryMb memory demand of each task, in MB
+ * @param accelerators number of accelerators that each task needs
  * @param estimateMs the caller's rough estimate of a task's run time, in ms; 0 for none
- * @param dependsOn positions of earlier steps that must be done first
+ * @param dependsOn positions of earlier steps that have to be done first
  * @param requiredLabel label that the target must have
- * @param preferredRack rack where the data is; tasks run longer elsewhere
- * @param maxPerTarget most tasks of the step on one target; 0 for no limit
+ * @param preferredRack rack that holds the data; tasks run longer on other racks
+ * @param maxPerTarget maximum number of tasks of the step on one target; 0 for no limit
  */
 public record StepRequest(
         int count,
@@ -27,7 +27,7 @@
         Optional<String> preferredRack,
         int maxPerTarget) {
 
-    /** A step that asks for nothing but processor time. */
+    /** Creates a step whose tasks need only CPU. */
     public static StepRequest cpuOnly(int count, int cpuMillis, long estimateMs) {
         return new StepRequest(
                 count,
--- a/core/src/main/java/org/boragegap/core/cell/TaskName.java
+++ b/core/src/main/java/org/boragegap/core/cell/TaskName.java
@@ -3,22 +3,22 @@
 import java.util.Optional;
 
 /**
- * Names one task of a job.
+ * Identifies one task of a job.
  *
  * @param job id of the job, 16 hexadecimal digits
- * @param occurrence which repetition of the job, from 0; 0 for a job that runs once
- * @param step position of its step in the job
+ * @param occurrence repetition of the job, from 0; 0 for a job that runs once
+ * @param step position of the step in the job
  * @param index position of the task in its step
  */
 public record TaskName(String job, int occurrence, int step, int index) {
     private static final int PART_COUNT = 4;
 
-    /** The name as targets know it. */
+    /** The name in the format that targets use. */
     public String text() {
         return job + '.' + occurrence + '.' + step + '.' + index;
     }
 
-    /** Reads a name; empty when it isn't one. */
+    /** Parses a name; empty if the text is not a valid name. */
     public static Optional<TaskName> parse(String text) {
         String[] parts = text.split("\\.");
         if (parts.length != PART_COUNT) {
--- a/core/src/main/java/org/boragegap/core/cell/Verdict.java
+++ b/core/src/main/java/org/boragegap/core/cell/Verdict.java
@@ -1,12 +1,12 @@
 package org.boragegap.core.cell;
 
-/** How a job ended for its caller. */
+/** The outcome of a job as its caller is told. */
 public sealed interface Verdict {
 
-    /** Why it ended so, in one line. */
+    /** One-line reason for the outcome. */
     String reason();
 
-    /** Every task of the job has ended well. */
+    /** All tasks of the job completed successfully. */
     record Completed() implements Verdict {
         @Override
         public String reason() {
@@ -15,22 +15,22 @@
     }
 
     /**
-     * It can't be done.
+     * The job failed: one of its tasks failed too often.
      *
      * @param reason one line
      */
     record Failed(String reason) implements Verdict {}
 
     /**
-     * Refused: no task of it has started, and none will.
+     * The job was refused: none of its tasks has started, and none will.
      *
      * @param reason one line
-     * @param retryAfterMs when the caller may come back, in ms
+     * @param retryAfterMs when the caller may retry, in ms
      */
     record Declined(String reason, long retryAfterMs) implements Verdict {}
 
     /**
-     * Given up without knowing whether tasks of it have run; the caller may hand it in again.
+     * It is unknown whether tasks of the job have run; the caller may submit the job again.
      *
      * @param reason one line
      */
