--- a/core/src/main/java/org/boragegap/core/cell/CellController.java
+++ b/core/src/main/java/org/boragegap/core/cell/CellController.java
@@ -243,16 +243,16 @@
      * avoids a scan of all targets per job.
      */
     private void startTasks() {
-        int maxFreeCpu = mPlacement.maxFreeCpu();
-        for (Iterator<CellJob> it = mTerm.waiting().iterator(); it.hasNext() && maxFreeCpu >= 0; ) {
+        int freeCpu = mPlacement.maxFreeCpu();
+        for (Iterator<CellJob> it = mTerm.waiting().iterator(); it.hasNext() && freeCpu >= 0; ) {
             CellJob job = it.next();
-            if (job.abandoned() || job.minTaskCpu() > maxFreeCpu) {
+            if (job.abandoned() || job.minTaskCpu() > freeCpu) {
                 continue;
             }
             if (startTasks(job)) {
                 it.remove();
             }
-            maxFreeCpu = mPlacement.maxFreeCpu();
+            freeCpu = mPlacement.maxFreeCpu();
         }
     }
 
--- a/core/src/test/java/org/boragegap/core/cell/CellControllerTest.java
+++ b/core/src/test/java/org/boragegap/core/cell/CellControllerTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** What a controller takes on and refuses. */
+/** Admission, refusal and start order of jobs at a controller. */
 final class CellControllerTest {
     private static final String JOB = "00000000000000aa";
     private static final long BUDGET_MS = 1_500;
@@ -46,8 +46,8 @@
     }
 
     /**
-     * No target of the job's cell is listed. The caller waited until its time was over, since an
-     * empty list was taken for one that was not read yet.
+     * Guards against a caller that waits until its deadline because an empty target list is treated
+     * as one that was not read yet.
      */
     @Test
     void aJobForWhichNoTargetIsListedIsRefusedAtOnce() {
@@ -58,7 +58,7 @@
         assertThat(verdicts().get(0)).isInstanceOf(Verdict.Declined.class);
     }
 
-    /** The term has just begun: which targets there are isn't known yet. */
+    /** The term has just begun, and the targets are not known yet. */
     @Test
     void aJobOfferedBeforeTheTargetListWaits() {
         on(0, new CellEvent.TermBegan(7, Optional.empty()));
@@ -97,8 +97,8 @@
     }
 
     /**
-     * The controller was lost. All that waited comes to the next one at once, some of it too late
-     * to be worth much; a caller who comes now must not wait behind it.
+     * Guards against new callers being delayed after a change of the controller: all pending jobs
+     * are offered to the next controller at once, some of them too late to be of much use.
      */
     @Test
     void lateJobsStartAfterJobsThatCanMeetTheirObjective() {
@@ -111,15 +111,17 @@
     }
 
     /**
-     * Callers were held until their time was over and then told that it isn't known whether their
-     * job ran. It had waited at a controller that could start nothing: its targets were full, or
-     * its term wasn't settled yet. Once no answer can be of use, the refusal is true and is told.
+     * Guards against callers that wait until their deadline and then get an answer in doubt,
+     * because their job waits at a controller that cannot start it: its targets are full, or its
+     * term is not settled. The job is refused once no answer can be of use, and the refusal is
+     * true.
      */
     @Test
     void aJobThatWaitedTooLongIsRefusedBeforeItsTimeout() {
         on(0, new CellEvent.TermBegan(7, Optional.of(List.of(TARGET))));
         offer(10, "00000000000000f5", 0, 1);
-        // Objective 1.6 * 100 + 60 = 220 ms; three times that less 100 ms of work is 560 ms.
+        // The objective is 1.6 * 100 + 60 = 220 ms; three times that minus 100 ms of work is 560
+        // ms.
         on(570, new CellEvent.Ticked());
         assertThat(verdicts()).isEmpty();
         on(580, new CellEvent.Ticked());
@@ -130,7 +132,7 @@
         assertThat(started()).isEmpty();
     }
 
-    /** An earlier controller may have started it: a refusal might be untrue. */
+    /** An earlier controller may have started the job, so a refusal could be false. */
     @Test
     void aJobThatMayHaveStartedIsNotRefused() {
         on(0, new CellEvent.TermBegan(7, Optional.of(List.of(TARGET))));
@@ -139,7 +141,9 @@
         assertThat(verdicts()).isEmpty();
     }
 
-    /** A term that ends before it could start anything leaves nothing to be asked for. */
+    /**
+     * A term that ends before it starts anything leaves nothing for the next controller to ask for.
+     */
     @Test
     void aTermWithoutStartsOrReportedRunsHasAffectedNoTarget() {
         on(0, new CellEvent.TermBegan(7, Optional.of(List.of(TARGET))));
@@ -150,7 +154,7 @@
         assertThat(mController.hasAffectedNoTarget()).isFalse();
     }
 
-    /** It may have extended the lease of an earlier controller's task. */
+    /** The term may have extended the lease of a task that an earlier controller started. */
     @Test
     void aTermWithAReportedRunHasAffectedATarget() {
         on(0, new CellEvent.TermBegan(7, Optional.of(List.of(TARGET))));
--- a/core/src/test/java/org/boragegap/core/cell/FakeJobs.java
+++ b/core/src/test/java/org/boragegap/core/cell/FakeJobs.java
@@ -3,7 +3,10 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** Jobs of a history: one to three tasks of a core each, with estimates that are far off. */
+/**
+ * Generates the jobs of a simulated history: one to three tasks of one core each, with inaccurate
+ * estimates.
+ */
 final class FakeJobs {
     private FakeJobs() {}
 
--- a/core/src/test/java/org/boragegap/core/cell/FalseRefusalTest.java
+++ b/core/src/test/java/org/boragegap/core/cell/FalseRefusalTest.java
@@ -11,8 +11,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A refusal says that no task of the job has started. Where something is known to the contrary, the
- * caller is told that its job is in doubt.
+ * Guards against false refusals. A refusal states that no task of the job has started; if one may
+ * have, the caller is told that its job is in doubt.
  */
 final class FalseRefusalTest {
     private static final String JOB = "00000000000000c1";
@@ -20,13 +20,13 @@
     private static final TargetInfo FIRST = ScriptedCell.target("t1", "x:1", "a", 2_000);
     private static final TargetInfo SECOND = ScriptedCell.target("t2", "x:2", "a", 2_000);
 
-    /** By then the leases of a silent target are over. */
+    /** By this time the leases of an unresponsive target have expired, in ms. */
     private static final long LEASE_EXPIRED_MS = 6_000;
 
-    /** By then a job without a caller that runs nowhere has been dropped. */
+    /** By this time a job without callers and runs has been dropped, in ms. */
     private static final long DROPPED_MS = LEASE_EXPIRED_MS + 4_000;
 
-    /** By then what was remembered of a job is forgotten. */
+    /** By this time all records of a job have expired, in ms. */
     private static final long AFTER_RETENTION_MS = 120_000;
 
     @Nested
@@ -50,7 +50,7 @@
             mCell.offer(ms + 5, JOB, tasks);
         }
 
-        /** The job runs, its caller leaves, its targets fall silent, and it is dropped. */
+        /** The job runs, its caller leaves, its targets stop responding, and the job is dropped. */
         private void runAndDrop() {
             mCell.begin(0, 7, FIRST, SECOND);
             mCell.listed(5, FIRST, SECOND);
@@ -67,7 +67,9 @@
             assertThat(mCell.verdicts().get(0)).isInstanceOf(Verdict.InDoubt.class);
         }
 
-        /** Guards against a caller being told that its job never ran while a target reports it. */
+        /**
+         * Guards against a caller being told that its job never ran while a target reports a run.
+         */
         @Test
         void aJobThatATargetReportsIsNotRefusedAsNeverRun() {
             inherit(List.of(new TargetReport.ActiveRun(TASK, 1, 50)), List.of());
@@ -83,7 +85,7 @@
             assertInDoubt();
         }
 
-        /** Guards against a refusal of a job whose other task goes on running. */
+        /** Guards against the refusal of a job one of whose tasks is still running. */
         @Test
         void aWaitingJobWithATaskThatWasTakenOverIsNotRefused() {
             mCell.on(0, new CellEvent.TermBegan(9, Optional.of(List.of(FIRST))));
@@ -103,7 +105,9 @@
             assertInDoubt();
         }
 
-        /** Guards against a next term of this VM that has forgotten what the last one started. */
+        /**
+         * Guards against a term that has no record of what the previous term on this VM started.
+         */
         @Test
         void aJobThatRanInAnEarlierTermIsNotRefusedAsNeverRun() {
             runAndDrop();
@@ -114,7 +118,7 @@
             assertInDoubt();
         }
 
-        /** Guards against a memory that grows without bound. */
+        /** Guards against records of past jobs that accumulate without bound. */
         @Test
         void aJobThatRanLongAgoIsForgotten() {
             runAndDrop();
@@ -128,7 +132,7 @@
     final class RememberedJobs {
         private final RecentJobs<Integer> mJobs = new RecentJobs<>();
 
-        /** Guards against a memory that grows without bound. */
+        /** Guards against records of past jobs that accumulate without bound. */
         @Test
         void theOldestIsForgottenFirst() {
             mJobs.remember("first", 1, 0);
@@ -176,7 +180,7 @@
                     .toList();
         }
 
-        /** The caller leaves before the job is answered, and the controller goes as planned. */
+        /** The caller leaves before the job is answered, and the controller gives up the cell. */
         private void offerAndLeave() {
             on(1_000, new EntryEvent.ControllerHeard("vm1", 7));
             submit(1_000, 1);
@@ -195,7 +199,7 @@
             assertThat(verdicts().get(0)).isInstanceOf(Verdict.InDoubt.class);
         }
 
-        /** Guards against a caller being told that its job never ran after it was handed over. */
+        /** Guards against a caller being told that its job never ran after it was offered. */
         @Test
         void aJobOfferedBeforeIsNotRefusedAsNeverRun() {
             offerAndLeave();
@@ -203,7 +207,7 @@
             assertInDoubt();
         }
 
-        /** Guards against the same when the caller comes back more than once. */
+        /** Guards against the same when the caller returns more than once. */
         @Test
         void aJobOfferedBeforeIsNotRefusedWhenItsCallerReturnsTwice() {
             offerAndLeave();
@@ -212,7 +216,7 @@
             assertInDoubt();
         }
 
-        /** Guards against a stopping VM that denies what it handed over. */
+        /** Guards against a VM that shuts down and refuses a job it has offered before. */
         @Test
         void aStoppingVmDoesNotRefuseAJobItOfferedBefore() {
             offerAndLeave();
@@ -221,7 +225,9 @@
             assertInDoubt();
         }
 
-        /** Guards against a stopping VM that denies what it has in hand for another caller. */
+        /**
+         * Guards against a VM that shuts down and refuses a job that is pending for another caller.
+         */
         @Test
         void aStoppingVmDoesNotRefuseAJobThatWaitsForAnotherCaller() {
             on(1_000, new EntryEvent.ControllerHeard("vm1", 7));
@@ -231,7 +237,10 @@
             assertInDoubt();
         }
 
-        /** Guards against a next controller that takes the job for one that surely never ran. */
+        /**
+         * Guards against a controller that treats a job offered to its predecessor as never
+         * started.
+         */
         @Test
         void theNextControllerIsCountedAsTheSecond() {
             offerAndLeave();
@@ -240,7 +249,7 @@
             assertThat(lastOffer().controllers()).isEqualTo(2);
         }
 
-        /** Guards against the return of a caller being counted as another controller. */
+        /** Guards against counting the return of a caller as an offer to another controller. */
         @Test
         void theSameControllerIsCountedOnce() {
             on(1_000, new EntryEvent.ControllerHeard("vm1", 7));
@@ -250,7 +259,7 @@
             assertThat(lastOffer().controllers()).isEqualTo(1);
         }
 
-        /** Guards against a doubt where the controller has said that the job never ran. */
+        /** Guards against an answer in doubt although the controller has declined the job. */
         @Test
         void aJobThatTheControllerRefusedMayBeRefusedAgain() {
             on(1_000, new EntryEvent.ControllerHeard("vm1", 7));
@@ -263,7 +272,7 @@
             assertThat(verdicts().get(0)).isInstanceOf(Verdict.Declined.class);
         }
 
-        /** Guards against a memory that grows without bound. */
+        /** Guards against records of past jobs that accumulate without bound. */
         @Test
         void aJobOfferedLongAgoIsForgotten() {
             offerAndLeave();
--- a/core/src/test/java/org/boragegap/core/cell/InvariantChecker.java
+++ b/core/src/test/java/org/boragegap/core/cell/InvariantChecker.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 import java.util.stream.IntStream;
 
-/** Watches targets and callers, and notes each broken promise. */
+/** Records the events of targets and callers, and every violation of an invariant. */
 final class InvariantChecker {
     private final Map<TaskName, Set<String>> mRunning = new HashMap<>();
     private final Set<TaskName> mDone = new HashSet<>();
@@ -26,19 +26,25 @@
         mNowMs = nowMs;
     }
 
-    void started(TaskName task, String target, int usedCpu, int roomCpu) {
+    void started(TaskName task, String target, int usedCpu, int capacityCpu) {
         mStartedJobs.add(task.job());
-        Set<String> where = mRunning.computeIfAbsent(task, name -> new HashSet<>());
-        if (!where.isEmpty()) {
-            violations("twice at a time: " + task.text() + " on " + target + " and " + where);
+        Set<String> targets = mRunning.computeIfAbsent(task, name -> new HashSet<>());
+        if (!targets.isEmpty()) {
+            reportViolation(
+                    "ran twice at the same time: "
+                            + task.text()
+                            + " on "
+                            + target
+                            + " and "
+                            + targets);
         }
-        where.add(target);
-        if (usedCpu > roomCpu) {
-            violations("over its room: " + target + " uses " + usedCpu + " of " + roomCpu);
+        targets.add(target);
+        if (usedCpu > capacityCpu) {
+            reportViolation("over capacity: " + target + " uses " + usedCpu + " of " + capacityCpu);
         }
     }
 
-    /** From how long after an evacuation on nothing may be started in its domain, in ms. */
+    /** Sets how long after an evacuation starts may still arrive in its domain, in ms. */
     void evacuateWithin(long ms) {
         mEvacuationLimitMs = ms;
     }
@@ -51,11 +57,12 @@
         mEvacuatedMs.remove(domain);
     }
 
-    /** A start has come that was not held up on its way. */
+    /** Checks a start order that arrived without an injected delay. */
     void startArrived(TaskName task, TargetInfo target) {
         Long sinceMs = mEvacuatedMs.get(target.failureDomain());
         if (sinceMs != null && mNowMs - sinceMs > mEvacuationLimitMs) {
-            violations("started in an evacuated domain: " + task.text() + " on " + target.id());
+            reportViolation(
+                    "started in an evacuated domain: " + task.text() + " on " + target.id());
         }
     }
 
@@ -88,14 +95,14 @@
     private void completed(JobRequest request) {
         for (TaskName task : tasks(request)) {
             if (!mDone.contains(task)) {
-                violations("completed, and not done: " + task.text());
+                reportViolation("job completed although a task is not done: " + task.text());
             }
         }
     }
 
     private void failed(JobRequest request, String reason) {
         if (tasks(request).stream().noneMatch(task -> hasFailed(task, request.maxAttempts()))) {
-            violations("shown as failed, and no task had: " + request.id() + ", " + reason);
+            reportViolation("job failed although no task did: " + request.id() + ", " + reason);
         }
     }
 
@@ -109,18 +116,18 @@
                 .toList();
     }
 
-    /** To be called when all is over. */
+    /** Checks the refused jobs; called at the end of a history. */
     void close() {
         mRefusals.forEach(
                 (job, refusals) -> {
                     if (refusals.equals(mSubmissions.get(job)) && mStartedJobs.contains(job)) {
-                        violations("refused, and a task has started: " + job);
+                        reportViolation("job refused although a task started: " + job);
                     }
                 });
     }
 
-    private void violations(String what) {
-        mViolations.add(mNowMs + " ms: " + what);
+    private void reportViolation(String violation) {
+        mViolations.add(mNowMs + " ms: " + violation);
     }
 
     List<String> violations() {
--- a/core/src/test/java/org/boragegap/core/cell/KnownEndsTest.java
+++ b/core/src/test/java/org/boragegap/core/cell/KnownEndsTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Nested;
 import org.junit.jupiter.api.Test;
 
-/** What targets have reported to be done counts, whatever else is known of the job. */
+/** Tasks that targets have reported as done count as done, whatever else is known of the job. */
 final class KnownEndsTest {
     private static final String JOB = "00000000000000c1";
     private static final TaskName TASK = new TaskName(JOB, 0, 0, 0);
@@ -17,7 +17,7 @@
     private static final TargetInfo SECOND = ScriptedCell.target("t2", "x:2", "a", 2_000);
     private static final StepRequest ONE_TASK = StepRequest.cpuOnly(1, 1_000, 100);
 
-    /** By then the leases of a silent target are over. */
+    /** By this time the leases of an unresponsive target have expired, in ms. */
     private static final long LEASE_EXPIRED_MS = 6_000;
 
     private final ScriptedCell mCell = new ScriptedCell();
@@ -26,7 +26,7 @@
         return new TargetReport.EndedRun(number, task, run, EndCause.DONE);
     }
 
-    /** A term begins in which the target reports what ended under an earlier controller. */
+    /** A target reports in a new term what ended under an earlier controller. */
     @Nested
     final class BeforeTheJobIsOffered {
         private void inherit(TargetReport.EndedRun... ended) {
@@ -36,7 +36,7 @@
             mCell.listed(6, FIRST);
         }
 
-        /** Guards against a job being refused although all its tasks are known to be done. */
+        /** Guards against the refusal of a job although all its tasks are known to be done. */
         @Test
         void aJobWhoseTasksAreKnownToBeDoneIsCompleted() {
             inherit(done(1, TASK, 1));
@@ -46,7 +46,7 @@
         }
 
         /**
-         * Guards against a job being failed for crashes although all its tasks are known to be
+         * Guards against a job that is ended for crashes although all its tasks are known to be
          * done.
          */
         @Test
@@ -58,7 +58,7 @@
             assertThat(mCell.verdicts()).containsExactly(new Verdict.Completed());
         }
 
-        /** Guards against an end that is forgotten when a first offer of the job is refused. */
+        /** Guards against losing a reported end when the first offer of its job is refused. */
         @Test
         void anEndIsStillKnownWhenTheJobIsOfferedAgain() {
             inherit(done(1, TASK, 1));
@@ -73,7 +73,10 @@
         }
     }
 
-    /** A run's lease lapses, its task is started again, and then its end is reported. */
+    /**
+     * The lease of a run expires, its task is started again, and then the end of the run is
+     * reported.
+     */
     @Nested
     final class AfterTheTaskWasStartedAgain {
         private CellAction.StartRun mExpiredStart;
@@ -89,7 +92,7 @@
             mCell.listed(5, FIRST, SECOND);
             mCell.offer(10, JOB, steps);
             mExpiredStart = lastStart();
-            TargetInfo other = mExpiredStart.target().equals(FIRST) ? SECOND : FIRST;
+            TargetInfo otherTarget = mExpiredStart.target().equals(FIRST) ? SECOND : FIRST;
             mCell.acceptStart(12, mExpiredStart);
             for (long ms = 20; ms <= LEASE_EXPIRED_MS; ms += 10) {
                 mCell.on(ms, new CellEvent.Ticked());
@@ -97,12 +100,12 @@
                     mCell.acceptStart(ms, lastStart());
                 }
                 if (ms % 100 == 0) {
-                    mCell.report(ms, other.id(), runningOn(other), List.of());
+                    mCell.report(ms, otherTarget.id(), runningOn(otherTarget), List.of());
                 }
             }
             mSecondStart = lastStart();
             assertThat(mCell.starts()).hasSize(2);
-            assertThat(mSecondStart.target().id()).isEqualTo(other.id());
+            assertThat(mSecondStart.target().id()).isEqualTo(otherTarget.id());
         }
 
         private List<TargetReport.ActiveRun> runningOn(TargetInfo target) {
@@ -117,7 +120,7 @@
             mCell.report(ms, start.target().id(), List.of(), List.of(row));
         }
 
-        /** Guards against the end of a run being dropped because its task was started again. */
+        /** Guards against ignoring the end of a run because its task was started again. */
         @Test
         void aTaskReportedDoneAfterItsLeaseExpiredIsDone() {
             expireLeaseAndRestart(ONE_TASK);
@@ -130,7 +133,7 @@
             assertThat(mCell.verdicts()).containsExactly(new Verdict.Completed());
         }
 
-        /** Guards against a second run that holds room while nobody waits for it. */
+        /** Guards against a second run that keeps its capacity although its task is done. */
         @Test
         void theSecondRunIsStopped() {
             expireLeaseAndRestart(ONE_TASK);
@@ -142,7 +145,7 @@
             assertThat(stop.run()).isEqualTo(mSecondStart.run());
         }
 
-        /** Guards against a job that stands still since the next step isn't looked at. */
+        /** Guards against a job that stalls because its next step is not scheduled. */
         @Test
         void theNextStepStarts() {
             Optional<String> any = Optional.empty();
--- a/core/src/test/java/org/boragegap/core/cell/LoadSimulation.java
+++ b/core/src/test/java/org/boragegap/core/cell/LoadSimulation.java
@@ -11,18 +11,18 @@
 import org.boragegap.core.ClockReading;
 
 /**
- * A controller under a load of jobs, with targets that start whatever they are told to. Kinds,
- * widths, run times and objectives are those of the smaller deployment: 32 targets that hold two or
- * three tasks each; estimates are off by 40%.
+ * Simulates a controller under a load of jobs, with targets that accept every start. The kinds,
+ * widths, run times and objectives of the jobs are those of the smaller deployment: 32 targets that
+ * hold two or three tasks each; estimates are off by up to 40%.
  */
 final class LoadSimulation {
     private static final int TASK_CPU = 27_000;
     private static final double[] SPEEDS = {0.8, 1.0, 1.25};
 
-    /** Jobs come from this time on, in ms; before, the targets report. */
+    /** Jobs arrive from this time on, in ms; the targets report before it. */
     static final long ARRIVALS_START_MS = 1_000;
 
-    /** After the last job the targets have this long to finish, in ms. */
+    /** Time for the targets to finish after the last job has arrived, in ms. */
     private static final long COMPLETION_WINDOW_MS = 5_000;
 
     private static final long TICK_MS = 10;
@@ -32,18 +32,18 @@
 
     private static final long STEP_MS = 2;
 
-    /** An order without an answer is given up after this, in ms, or later if it may be held. */
+    /** Timeout of an order, in ms; the time that the target may hold its answer back is added. */
     private static final long ANSWER_TIMEOUT_MS = 250;
 
-    /** A target's answer is on its way for this long, in ms. */
+    /** Delay of a target's answer, in ms. */
     private static final long ANSWER_DELAY_MS = 1;
 
-    /** A lost order is carried out from two to twelve seconds later. */
+    /** A lost order is carried out two to twelve seconds after it was sent. */
     private static final long MIN_LATE_MS = 2_000;
 
     private static final long LATE_RANGE_MS = 10_000;
 
-    /** Orders that get no answer and are carried out seconds later. */
+    /** Share of orders that get no answer and are carried out seconds later, within a period. */
     record LostOrders(double share, long fromMs, long untilMs) {
         static LostOrders none() {
             return new LostOrders(0, 0, 0);
@@ -60,22 +60,22 @@
         private final long mWorkMs;
         private final double mValue;
 
-        Kind(double share, int width, long workMs, double worth) {
+        Kind(double share, int width, long workMs, double value) {
             mShare = share;
             mWidth = width;
             mWorkMs = workMs;
-            mValue = worth;
+            mValue = value;
         }
 
-        static Kind draw(double at) {
-            if (at < WIDE.mShare) {
+        static Kind draw(double fraction) {
+            if (fraction < WIDE.mShare) {
                 return WIDE;
             }
-            return at < WIDE.mShare + LONG.mShare ? LONG : NARROW;
+            return fraction < WIDE.mShare + LONG.mShare ? LONG : NARROW;
         }
     }
 
-    /** One job: when it comes, its kind, the true run time of its tasks and its objective. */
+    /** A job: its arrival time, its kind, and the true run time of its tasks. */
     record Arrival(long atMs, int number, Kind kind, int width, long workMs) {
         long objectiveMs() {
             return Math.round(1.6 * workMs) + 60;
@@ -86,7 +86,7 @@
         }
     }
 
-    /** Jobs that come at random over {@code lengthMs}, drawn from a seed. */
+    /** Generates jobs that arrive at random over {@code lengthMs}, from a seed. */
     static List<Arrival> arrivals(long seed, double jobsPerS, long lengthMs) {
         SplittableRandom random = new SplittableRandom(seed);
         List<Arrival> arrivals = new ArrayList<>();
@@ -105,7 +105,7 @@
         return 0.4 + 1.2 * random.nextDouble();
     }
 
-    /** Worth of the jobs that were answered in time, and of all that came. */
+    /** Total value of the answered jobs, and the value of those answered in time, by kind. */
     static final class Score {
         private final double[] mTotalValue = new double[Kind.values().length];
         private final double[] mInTimeValue = new double[Kind.values().length];
@@ -115,18 +115,18 @@
             mInTimeValue[arrival.kind().ordinal()] += inTime ? arrival.kind().mValue : 0;
         }
 
-        /** Share of the worth in time. */
+        /** Share of the total value that was answered in time. */
         double inTimeShare() {
-            double owed = 0;
+            double total = 0;
             double inTime = 0;
             for (Kind kind : Kind.values()) {
-                owed += mTotalValue[kind.ordinal()];
+                total += mTotalValue[kind.ordinal()];
                 inTime += mInTimeValue[kind.ordinal()];
             }
-            return inTime / owed;
+            return inTime / total;
         }
 
-        /** The same of the kind that is served worst. */
+        /** The smallest such share of any kind. */
         double worstInTimeShare() {
             double worst = 1;
             for (Kind kind : Kind.values()) {
@@ -151,10 +151,10 @@
     private long mNowMs;
     private int mLeaseCalls;
 
-    LoadSimulation(List<Arrival> arrivals, long lengthMs, LostOrders lost) {
+    LoadSimulation(List<Arrival> arrivals, long lengthMs, LostOrders lostOrders) {
         mArrivals = arrivals;
         mLengthMs = lengthMs;
-        mLostOrders = lost;
+        mLostOrders = lostOrders;
         List<TargetInfo> infos = new ArrayList<>();
         for (int i = 0; i < 32; i++) {
             int cpu = i % 3 == 2 ? 96_000 : 64_000;
@@ -177,7 +177,7 @@
         mSchedule.add(new ScheduledAction(mNowMs + TICK_MS, this::tick));
     }
 
-    /** Plays all arrivals. */
+    /** Simulates all arrivals. */
     Score simulate() {
         long endMs = ARRIVALS_START_MS + mLengthMs + COMPLETION_WINDOW_MS;
         for (long at = 5; at < endMs; at += STEP_MS) {
@@ -190,9 +190,9 @@
                     new ScheduledAction(ARRIVALS_START_MS + arrival.atMs(), () -> offer(arrival)));
         }
         while (!mSchedule.isEmpty() && mSchedule.peek().atMs() < endMs) {
-            ScheduledAction due = mSchedule.poll();
-            mNowMs = due.atMs();
-            due.action().run();
+            ScheduledAction next = mSchedule.poll();
+            mNowMs = next.atMs();
+            next.action().run();
         }
         return mScore;
     }
@@ -243,8 +243,8 @@
     }
 
     private void sendOrder(CellAction order) {
-        boolean losing = mNowMs >= mLostOrders.fromMs() && mNowMs < mLostOrders.untilMs();
-        if (losing && mRandom.nextDouble() < mLostOrders.share()) {
+        boolean losesOrders = mNowMs >= mLostOrders.fromMs() && mNowMs < mLostOrders.untilMs();
+        if (losesOrders && mRandom.nextDouble() < mLostOrders.share()) {
             long lateMs = MIN_LATE_MS + mRandom.nextLong(LATE_RANGE_MS);
             mSchedule.add(new ScheduledAction(mNowMs + lateMs, () -> execute(order, event -> {})));
             long givenUpMs = mNowMs + ANSWER_TIMEOUT_MS + Orders.waitMs(order);
@@ -280,13 +280,13 @@
         return mTargets.get(Integer.parseInt(info.id().substring(1)));
     }
 
-    /** Lease calls that the targets have taken, a second and target, over the whole play. */
+    /** Lease calls per second and target over the whole simulation. */
     double leaseCallsPerTarget() {
-        long playedMs = ARRIVALS_START_MS + mLengthMs + COMPLETION_WINDOW_MS;
-        return 1_000.0 * mLeaseCalls / playedMs / mTargets.size();
+        long durationMs = ARRIVALS_START_MS + mLengthMs + COMPLETION_WINDOW_MS;
+        return 1_000.0 * mLeaseCalls / durationMs / mTargets.size();
     }
 
-    /** What was broken, as targets and callers saw it. */
+    /** Invariant violations seen by targets and callers. */
     List<String> violations() {
         return mInvariants.violations();
     }
--- a/core/src/test/java/org/boragegap/core/cell/LostOrdersTest.java
+++ b/core/src/test/java/org/boragegap/core/cell/LostOrdersTest.java
@@ -6,13 +6,13 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * At an ordinary load some of the orders to targets get no answer for a while, and are carried out
- * seconds later. Callers were refused or late although the targets had room: a start without an
- * answer held its room for half a second, a lease call without one hid all ends on its target for
- * as long, and sound runs whose end was not heard of were stopped as stuck.
+ * Guards against refused or late jobs, although targets have capacity, when some orders at an
+ * ordinary load get no answer and are carried out seconds later. There were three causes: an
+ * unanswered start held its capacity for half a second; an unanswered lease call hid all ends on
+ * its target for as long; and healthy runs whose end was not reported were stopped as stuck.
  *
- * <p>The load is half of what the targets can do, as on a quiet day. A share of 0.055 is what the
- * deployments name; a tenth and two fifths are what any deployment may see.
+ * <p>The load is half of the targets' capacity. A share of 0.055 lost orders is specified for the
+ * deployments; a tenth and two fifths can occur in any deployment.
  */
 final class LostOrdersTest {
     private static final double JOBS_PER_S = 60;
@@ -32,14 +32,15 @@
     }
 
     /**
-     * It is 0.91 here; over three other seeds 0.92, and 0.72 with timeouts of 250 ms throughout.
+     * The share in time is 0.91 with this seed, and 0.92 with three others. With fixed timeouts of
+     * 250 ms it is 0.72.
      */
     @Test
     void aTenthOfTheOrdersLostLeavesMostInTime() {
         assertThat(inTime(0.1)).isAtLeast(0.85);
     }
 
-    /** No cliff: each doubling of the loss costs at most half of the service. */
+    /** The service degrades gradually: each doubling of the loss costs at most half of it. */
     @Test
     void serviceFallsSmoothlyWithTheShareLost() {
         double[] shares = {0, 0.02, 0.055, 0.1, 0.2, 0.4};
--- a/core/src/test/java/org/boragegap/core/cell/OfferNumbersTest.java
+++ b/core/src/test/java/org/boragegap/core/cell/OfferNumbersTest.java
@@ -11,15 +11,17 @@
 import org.junit.jupiter.api.Nested;
 import org.junit.jupiter.api.Test;
 
-/** Offers are told apart and put in order by their numbers, over all lives of an entry VM. */
+/** Offer numbers identify and order the offers of an entry VM, also across its restarts. */
 final class OfferNumbersTest {
     private static final String JOB = "00000000000000c1";
     private static final TargetInfo TARGET = ScriptedCell.target("t1", "x:1", "a", 2_000);
 
-    /** Some day, in ms since the Unix epoch. */
+    /**
+     * Wall clock at the start of the first process, in ms since the Unix epoch; an arbitrary date.
+     */
     private static final long START_WALL_MS = 1_800_000_000_000L;
 
-    /** Offers of one life before it ends. */
+    /** Number of offers that a process makes before it ends. */
     private static final int MANY_OFFERS = 500;
 
     private static JobRequest request() {
@@ -27,7 +29,7 @@
         return new JobRequest(JOB, "queue", "service", 0, 1, 1.6, 600, "", List.of(tooLarge), 1);
     }
 
-    /** One life of an entry VM; its monotonic clock begins anew with it. */
+    /** One process of an entry VM between two restarts, with its own monotonic clock. */
     private static final class EntryVmProcess {
         private final PendingJobs mPendingJobs;
         private final List<EntryAction> mActions = new ArrayList<>();
@@ -66,7 +68,9 @@
 
     @Nested
     final class AcrossRestarts {
-        /** Guards against an answer to one life's offer being taken for one to the other's. */
+        /**
+         * Guards against matching an answer to an offer from before a restart to one from after it.
+         */
         @Test
         void offerNumbersDifferAcrossRestarts() {
             long first = new EntryVmProcess(START_WALL_MS).offer().number();
@@ -118,7 +122,7 @@
                     .toList();
         }
 
-        /** Guards against a caller that gets no answer since its entry VM was restarted. */
+        /** Guards against a caller that gets no answer because its entry VM was restarted. */
         @Test
         void anOfferAfterARestartIsAnswered() {
             CellMessage.Offer before = new EntryVmProcess(START_WALL_MS).lastOfMany();
@@ -128,7 +132,7 @@
             assertThat(answered()).containsExactly(before.number(), after.number()).inOrder();
         }
 
-        /** Guards against an offer of a life that is over, held up, starting a refused job. */
+        /** Guards against a delayed offer from before a restart that starts a refused job. */
         @Test
         void aDelayedOfferFromBeforeARestartIsIgnored() {
             CellMessage.Offer before = new EntryVmProcess(START_WALL_MS).lastOfMany();
@@ -139,8 +143,8 @@
         }
 
         /**
-         * A clock that was set back between two lives costs that VM's callers the answer for as
-         * long as a refusal is remembered, and no longer.
+         * After a restart with the clock set back, offers of a refused job go unanswered only as
+         * long as the refusal is remembered.
          */
         @Test
         void afterAClockSetBackAnOfferIsAnsweredOnceTheRefusalIsForgotten() {
--- a/core/src/test/java/org/boragegap/core/cell/OrderTransport.java
+++ b/core/src/test/java/org/boragegap/core/cell/OrderTransport.java
@@ -4,31 +4,34 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 
-/** Carries a history's orders to targets and the answers back; some are lost, late or held up. */
+/**
+ * Delivers orders of a simulated history to targets and returns their answers; some are lost, late
+ * or delayed.
+ */
 final class OrderTransport {
     private static final long ANSWER_TIMEOUT_MS = 300;
     private static final int TASK_FAILURE_PERCENT = 2;
 
     private final SimulatedClock mClock;
     private final SplittableRandom mRandom;
-    private final NetworkDelays mHops;
-    private final FaultRates mPercent;
+    private final NetworkDelays mDelays;
+    private final FaultRates mRates;
     private final FakePlatform mPlatform;
     private final InvariantChecker mInvariants;
 
     OrderTransport(
             SimulatedClock clock,
             SplittableRandom random,
-            NetworkDelays hops,
-            FaultRates percent,
+            NetworkDelays delays,
+            FaultRates rates,
             FakePlatform platform,
-            InvariantChecker oracle) {
+            InvariantChecker invariants) {
         mClock = clock;
         mRandom = random;
-        mHops = hops;
-        mPercent = percent;
+        mDelays = delays;
+        mRates = rates;
         mPlatform = platform;
-        mInvariants = oracle;
+        mInvariants = invariants;
     }
 
     private boolean chance(int percent) {
@@ -38,27 +41,29 @@
     /**
      * Sends an order.
      *
-     * @param cut whether the sender and the target are cut off from each other at the moment
-     * @param learn takes what the controller learns of it
+     * @param partitioned whether the sender and the target are currently separated by a network
+     *     partition
+     * @param toController receives the resulting event for the controller
      */
-    void send(CellAction order, BooleanSupplier cut, Consumer<CellEvent> learn) {
+    void send(CellAction order, BooleanSupplier partitioned, Consumer<CellEvent> toController) {
         FakeTarget target = mPlatform.target(Orders.target(order).id());
-        boolean lost = chance(mPercent.mLostAnswers);
-        boolean late = chance(mPercent.mLateOrders);
-        long givenUpMs = ANSWER_TIMEOUT_MS + Orders.waitMs(order);
-        mClock.after(givenUpMs, () -> learn.accept(Orders.unanswered(order)));
-        if (target == null || cut.getAsBoolean()) {
+        boolean lost = chance(mRates.mLostAnswers);
+        boolean late = chance(mRates.mLateOrders);
+        long timeoutMs = ANSWER_TIMEOUT_MS + Orders.waitMs(order);
+        mClock.after(timeoutMs, () -> toController.accept(Orders.unanswered(order)));
+        if (target == null || partitioned.getAsBoolean()) {
             return;
         }
-        long delayMs = late ? 2_000 + mRandom.nextLong(4_000) : mHops.peerMs();
-        long backMs = chance(mPercent.mSlowAnswers) ? 50 + mRandom.nextLong(200) : mHops.peerMs();
+        long orderDelayMs = late ? 2_000 + mRandom.nextLong(4_000) : mDelays.peerMs();
+        long answerDelayMs =
+                chance(mRates.mSlowAnswers) ? 50 + mRandom.nextLong(200) : mDelays.peerMs();
         Consumer<CellEvent> answer =
                 event -> {
-                    if (!lost && !late && !cut.getAsBoolean()) {
-                        mClock.after(backMs, () -> learn.accept(event));
+                    if (!lost && !late && !partitioned.getAsBoolean()) {
+                        mClock.after(answerDelayMs, () -> toController.accept(event));
                     }
                 };
-        mClock.after(delayMs, () -> arrive(target, order, late, answer));
+        mClock.after(orderDelayMs, () -> arrive(target, order, late, answer));
     }
 
     private void arrive(
@@ -80,8 +85,8 @@
         if (order instanceof CellAction.ExtendLease extend) {
             target.extend(extend, answer);
         } else if (order instanceof CellAction.StartRun start) {
-            long takesMs = mRandom.nextInt(6) == 0 ? 1_500 : 30 + mRandom.nextInt(300);
-            target.start(start, takesMs, chance(TASK_FAILURE_PERCENT), answer);
+            long runTimeMs = mRandom.nextInt(6) == 0 ? 1_500 : 30 + mRandom.nextInt(300);
+            target.start(start, runTimeMs, chance(TASK_FAILURE_PERCENT), answer);
         } else {
             target.stop((CellAction.StopRun) order, answer);
         }
--- a/core/src/test/java/org/boragegap/core/cell/Orders.java
+++ b/core/src/test/java/org/boragegap/core/cell/Orders.java
@@ -1,6 +1,6 @@
 package org.boragegap.core.cell;
 
-/** What histories need to know of orders to targets. */
+/** Helpers for orders to targets in simulations. */
 final class Orders {
     private Orders() {}
 
@@ -15,17 +15,19 @@
         return ((CellAction.StopRun) order).target();
     }
 
-    /** How long the target may hold its answer back, in ms. */
+    /** How long the target may delay its answer, in ms. */
     static long waitMs(CellAction order) {
         return order instanceof CellAction.ExtendLease extend ? extend.waitMs() : 0;
     }
 
-    /** What a controller learns when no answer comes. */
+    /** The event that a controller gets when an order times out. */
     static CellEvent unanswered(CellAction order) {
         return failed(order, OrderResult.UNKNOWN);
     }
 
-    /** What a controller learns of an order that was not carried out, or may not have been. */
+    /**
+     * The event that a controller gets for an order that was not carried out, or may not have been.
+     */
     static CellEvent failed(CellAction order, OrderResult result) {
         String id = target(order).id();
         if (order instanceof CellAction.ExtendLease extend) {
--- a/core/src/test/java/org/boragegap/core/cell/OverloadTest.java
+++ b/core/src/test/java/org/boragegap/core/cell/OverloadTest.java
@@ -10,18 +10,19 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Registration opens: for 20 s jobs come at one and a half times what the targets can do. Three
- * kinds share them: many narrow jobs of 200 ms, wide ones of 60 ms with little time to spare, few
- * long ones of 900 ms. Without refusal the queue grows, each job waits for all before it, and in
- * the end nothing is in time. Widths, run times, rates and objectives are those of the smaller
- * deployment: 32 targets that hold two or three tasks each; estimates are off by 40%.
+ * Guards against a collapse under overload, as when a registration period opens: for 20 s, jobs
+ * arrive at one and a half times the rate that the targets can serve. There are three kinds: many
+ * narrow jobs of 200 ms, wide ones of 60 ms with tight objectives, and a few long ones of 900 ms.
+ * Without refusals the queue grows, each job waits for all jobs ahead of it, and finally no job
+ * meets its objective. Widths, run times, rates and objectives are those of the smaller deployment:
+ * 32 targets that hold two or three tasks each; estimates are off by up to 40%.
  */
 final class OverloadTest {
     private static final double JOBS_PER_S = 151;
     private static final long LENGTH_MS = 20_000;
     private static final double[] SPEEDS = {0.8, 1.0, 1.25};
 
-    /** The same arrivals on the same slots, first come first served, without refusal. */
+    /** Serves the same arrivals on the same slots in arrival order, without refusals. */
     private static LoadSimulation.Score firstComeFirstServed(
             List<LoadSimulation.Arrival> arrivals) {
         PriorityQueue<double[]> slots = new PriorityQueue<>(Comparator.comparingDouble(s -> s[0]));
--- a/core/src/test/java/org/boragegap/core/cell/PendingJobsTest.java
+++ b/core/src/test/java/org/boragegap/core/cell/PendingJobsTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Nested;
 import org.junit.jupiter.api.Test;
 
-/** What one entry VM does with the jobs of its callers. */
+/** Offers and answers of an entry VM for the jobs of its callers. */
 final class PendingJobsTest {
     private static final String JOB = "00000000000000aa";
     private static final String OTHER_JOB = "00000000000000ab";
@@ -69,8 +69,9 @@
         }
 
         /**
-         * The controller dies while a caller waits. The next one is heard of; the job goes to it at
-         * once, and says that it is the second, so that it isn't taken for surely not started.
+         * The controller is lost while a caller waits. The job is offered to the next controller as
+         * soon as that is known, as an offer to the second controller, so that it is not treated as
+         * certainly not started.
          */
         @Test
         void waitingJobsAreOfferedToTheNextController() {
@@ -92,8 +93,8 @@
     @Nested
     final class Refusing {
         /**
-         * A controller that was cut off refuses a job. The job was offered to the next one
-         * meanwhile, which has started it. Told to the caller, the late refusal would be untrue.
+         * Guards against a false refusal: a partitioned controller refuses a job that has meanwhile
+         * been offered to the next controller and started there.
          */
         @Test
         void aLateRefusalOfAnEarlierOfferIsDropped() {
@@ -115,7 +116,8 @@
         }
 
         /**
-         * No controller is known: the caller is refused after a short while, not at its deadline.
+         * Without a known controller, the caller is refused after a short wait, not at its
+         * deadline.
          */
         @Test
         void withoutAControllerACallerIsRefusedSoon() {
@@ -124,7 +126,7 @@
             assertThat(verdict(on(new EntryEvent.Ticked()))).isInstanceOf(Verdict.Declined.class);
         }
 
-        /** The job was offered and may run: the caller is not told that it has not. */
+        /** The job was offered and may run, so the caller must not be told that it did not. */
         @Test
         void anOfferedJobWithoutAVerdictEndsInDoubt() {
             on(new EntryEvent.ControllerHeard("vm1", 7));
--- a/core/src/test/java/org/boragegap/core/cell/ScriptedCell.java
+++ b/core/src/test/java/org/boragegap/core/cell/ScriptedCell.java
@@ -6,7 +6,7 @@
 import java.util.Set;
 import org.boragegap.core.ClockReading;
 
-/** A controller whose operators, targets and callers do what a test says, at stated times. */
+/** A controller with scripted operators, targets and callers, at times that the test sets. */
 final class ScriptedCell {
     private static final long BUDGET_MS = 1_500;
     private static final long LEASE_MS = 1_000;
@@ -15,13 +15,13 @@
     private final List<CellAction> mActions = new ArrayList<>();
     private long mNextOfferNumber = 1;
 
-    /** A target with room for tasks of 1,000 thousandths of a core. */
+    /** Creates a target; its CPU capacity is in thousandths of a core. */
     static TargetInfo target(String id, String address, String domain, int cpuMillis) {
         return new TargetInfo(
                 id, address, "service", domain, cpuMillis, 100, 0, Set.of(), false, false);
     }
 
-    /** The same target, which says that it will leave. */
+    /** The same target, draining. */
     static TargetInfo leaving(TargetInfo info) {
         return new TargetInfo(
                 info.id(),
@@ -45,7 +45,7 @@
         on(ms, new CellEvent.DomainsEvacuated(Set.of(domains)));
     }
 
-    /** A term begins; the targets of the term before have answered, and nothing runs there. */
+    /** Begins a term. The given targets of the previous term report that nothing runs there. */
     void begin(long ms, long fence, TargetInfo... targets) {
         on(ms, new CellEvent.TermBegan(fence, Optional.of(List.of(targets))));
         for (TargetInfo target : targets) {
@@ -64,7 +64,7 @@
         }
     }
 
-    /** The target answers the last lease call that it was sent. */
+    /** The target answers its last lease call. */
     void report(
             long ms,
             String target,
@@ -74,13 +74,13 @@
         on(ms, new CellEvent.LeaseExtended(target, lastCall(target), report));
     }
 
-    /** The target at that address answers the last lease call as another incarnation. */
+    /** Another incarnation at the target's address answers the last lease call. */
     void answerAsReplacement(long ms, String target) {
         OrderResult cause = OrderResult.OTHER_INCARNATION;
         on(ms, new CellEvent.LeaseFailed(target, lastCall(target), cause));
     }
 
-    /** The target takes no connection: the last lease call to it couldn't be sent. */
+    /** The target refuses connections: its last lease call could not be sent. */
     void refused(long ms, String target) {
         on(ms, new CellEvent.LeaseFailed(target, lastCall(target), OrderResult.NOT_SENT));
     }
@@ -94,8 +94,7 @@
     }
 
     /**
-     * A caller hands in a job, a single failure of which ends it, of some tasks of 1,000
-     * thousandths of a core in.
+     * Offers a job with tasks of 1,000 thousandths of a core each. A single failed run fails it.
      */
     void offer(long ms, String job, int tasks) {
         offer(ms, job, StepRequest.cpuOnly(tasks, 1_000, 100));
@@ -107,12 +106,12 @@
         on(ms, new CellEvent.Offered("vm1", request, 0, BUDGET_MS, 1, mNextOfferNumber++));
     }
 
-    /** The target takes a start. */
+    /** The target confirms a start. */
     void acceptStart(long ms, CellAction.StartRun start) {
         answer(ms, start, OrderResult.DONE);
     }
 
-    /** The answer to a start is lost. */
+    /** A start gets no answer. */
     void unanswered(long ms, CellAction.StartRun start) {
         answer(ms, start, OrderResult.UNKNOWN);
     }
@@ -132,7 +131,7 @@
         return actions(CellAction.StartRun.class);
     }
 
-    /** Targets on which something was started, in order. */
+    /** Ids of the targets of all start orders, in order. */
     List<String> startedOn() {
         return starts().stream().map(start -> start.target().id()).toList();
     }
