--- a/core/src/main/java/org/boragegap/core/cell/JobLifecycle.java
+++ b/core/src/main/java/org/boragegap/core/cell/JobLifecycle.java
@@ -31,7 +31,7 @@
     private static final long REFUSAL_RETENTION_MS = 10_000;
 
     /** Reason for refusing a job that no target has the capacity for. */
-    private static final String INFEASIBLE_REASON = "no target has the capacity for it";
+    private static final String INFEASIBLE_REASON = "no target can hold it";
 
     private record KeptVerdict(Verdict verdict, long atMs) {}
 
--- a/core/src/main/java/org/boragegap/core/cell/PendingJobs.java
+++ b/core/src/main/java/org/boragegap/core/cell/PendingJobs.java
@@ -183,7 +183,7 @@
         String id = event.request().id();
         Caller caller = new Caller(event.ticket(), mNowMs, mNowMs + event.budgetMs());
         if (mDraining) {
-            reply(caller, id, offerHistory(id).refusal("this VM is shutting down"));
+            reply(caller, id, offerHistory(id).refusal("this VM is stopping"));
             return;
         }
         mJobByTicket.put(event.ticket(), id);
@@ -331,7 +331,7 @@
                 reply(caller, id, pending.mOfferHistory.refusal("no controller is known"));
             } else if (mNowMs >= caller.deadlineMs()) {
                 pending.mCallers.remove(caller);
-                reply(caller, id, new Verdict.InDoubt("no verdict before the deadline"));
+                reply(caller, id, new Verdict.InDoubt("no verdict in time"));
             }
         }
     }
