--- a/core/src/main/java/org/boragegap/core/cell/Followers.java
+++ b/core/src/main/java/org/boragegap/core/cell/Followers.java
@@ -23,8 +23,8 @@
     /**
      * How long a VM that the group no longer lists still counts towards the majority, in ms. Guards
      * against a partition that leaves half of the VMs with the controller while one of the other
-     * half restarts: by the list alone its side was a majority, and it acted besides the controller
-     * to which the store had assigned the cell meanwhile.
+     * half restarts: by the list alone its side was a majority, and it acted alongside the
+     * controller to which the store had assigned the cell meanwhile.
      */
     private static final long DELISTED_COUNTS_MS = 10_000;
 
--- a/core/src/main/java/org/boragegap/core/cell/Predecessors.java
+++ b/core/src/main/java/org/boragegap/core/cell/Predecessors.java
@@ -20,7 +20,7 @@
      */
     private static final long LEASE_EXPIRED_AFTER_MS = 1_100;
 
-    /** State of the knowledge. */
+    /** What is known about earlier controllers. */
     enum Knowledge {
         /** Not all entry VMs in the group have replied yet. */
         AWAITS_ANSWERS,
--- a/core/src/test/java/org/boragegap/core/cell/FollowersTest.java
+++ b/core/src/test/java/org/boragegap/core/cell/FollowersTest.java
@@ -42,9 +42,9 @@
 
     /**
      * Guards against a task that runs twice: one of six VMs restarts, then the controller's failure
-     * domain, of three VMs, is disconnected together with it. These three are a majority of the
-     * five listed VMs and follow the controller without the store, while the store assigns the cell
-     * to one of the other two. Three of six are no majority.
+     * domain, three VMs including the controller, is disconnected. These three are a majority of
+     * the five listed VMs and follow the controller without the store, while the store assigns the
+     * cell to one of the other two. Three of six are no majority.
      */
     @Test
     void aRecentlyDelistedVmStillCounts() {
