--- a/entry/src/main/java/org/boragegap/entry/cell/CellControl.java
+++ b/entry/src/main/java/org/boragegap/entry/cell/CellMemberDriver.java
@@ -9,14 +9,14 @@
 import org.boragegap.core.cell.MemberEvent;
 
 /** Feeds the member of one cell its events and carries its actions out. For the control thread. */
-final class CellControl {
+final class CellMemberDriver {
     private final CellMember mMember;
     private final CellOutput mOutput;
-    private long mTickedMs;
+    private long mLastTickMs;
     private volatile boolean mWantsCell;
-    private volatile boolean mServesCallers = true;
+    private volatile boolean mCanServeCallers = true;
 
-    CellControl(CellMember member, CellOutput output) {
+    CellMemberDriver(CellMember member, CellOutput output) {
         mMember = member;
         mOutput = output;
     }
@@ -30,7 +30,7 @@
     }
 
     /** True when timeouts of some ten ms are to be watched over. */
-    boolean busy() {
+    boolean needsShortTicks() {
         return mMember.needsShortTicks();
     }
 
@@ -50,8 +50,8 @@
 
     /** Time has passed; a cell without anything that can't wait is ticked less often. */
     void tick(long nowMs) {
-        if (mMember.needsShortTicks() || nowMs - mTickedMs >= mMember.idleTickMs()) {
-            mTickedMs = nowMs;
+        if (mMember.needsShortTicks() || nowMs - mLastTickMs >= mMember.idleTickMs()) {
+            mLastTickMs = nowMs;
             on(new MemberEvent.Ticked());
         }
     }
@@ -60,8 +60,8 @@
         List<MemberAction> actions = new ArrayList<>();
         mMember.on(event, ControlThread.clock(), actions);
         mWantsCell = mMember.wantsCell();
-        mServesCallers = mMember.canServeCallers(ControlThread.clock());
-        actions.forEach(this::run);
+        mCanServeCallers = mMember.canServeCallers(ControlThread.clock());
+        actions.forEach(this::execute);
     }
 
     /** Whether this VM should ask the group for the cell; to be read on any thread. */
@@ -70,29 +70,29 @@
     }
 
     /** Whether callers do well to come to this VM; to be read on any thread. */
-    boolean servesCallers() {
-        return mServesCallers;
+    boolean canServeCallers() {
+        return mCanServeCallers;
     }
 
-    private void run(MemberAction action) {
+    private void execute(MemberAction action) {
         if (action instanceof MemberAction.Send send) {
             mOutput.send(send.address(), send.message());
         } else if (action instanceof MemberAction.Order order) {
-            run(order.order());
+            execute(order.order());
         } else if (action instanceof MemberAction.Reply reply) {
             mOutput.reply(reply.reply());
         } else if (action instanceof MemberAction.WatchTargets follow) {
-            mOutput.followTargets(follow.watch());
+            mOutput.watchTargets(follow.watch());
         } else if (action instanceof MemberAction.ReadMembers) {
             mOutput.readMembers();
         } else if (action instanceof MemberAction.Rejoin) {
-            mOutput.joinAgain();
+            mOutput.rejoin();
         } else if (action instanceof MemberAction.Log log) {
             DecisionLog.write(log.decision());
         }
     }
 
-    private void run(CellAction order) {
+    private void execute(CellAction order) {
         if (order instanceof CellAction.ExtendLease extend) {
             mOutput.extend(extend);
         } else if (order instanceof CellAction.StartRun start) {
--- a/entry/src/main/java/org/boragegap/entry/cell/CellMetrics.java
+++ b/entry/src/main/java/org/boragegap/entry/cell/CellMetrics.java
@@ -17,19 +17,19 @@
 final class CellMetrics {
     private final PrometheusMeterRegistry mRegistry =
             new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
-    private final Map<Class<?>, Timer> mAnswers = new HashMap<>();
+    private final Map<Class<?>, Timer> mAnswerTimers = new HashMap<>();
     private final Counter mRefused = Counter.builder("boragegap.refused").register(mRegistry);
     private final Counter mNotFound = Counter.builder("boragegap.not.found").register(mRegistry);
     private final Counter mCallersLeft =
             Counter.builder("boragegap.callers.left").register(mRegistry);
     private volatile CellState mState = CellState.NONE;
-    private volatile int mWaiting;
-    private boolean mRuntimeBound;
+    private volatile int mWaitingCallers;
+    private boolean mJvmMetricsBound;
     private volatile long mConfigVersion;
 
     CellMetrics() {
         for (Class<?> verdict : Verdict.class.getPermittedSubclasses()) {
-            mAnswers.put(
+            mAnswerTimers.put(
                     verdict,
                     Timer.builder("boragegap.answers")
                             .tag("verdict", verdict.getSimpleName())
@@ -43,7 +43,8 @@
         gauge("boragegap.control.targets.open", CellState::schedulable);
         gauge("boragegap.control.jobs", CellState::jobs);
         gauge("boragegap.control.runs", CellState::runs);
-        Gauge.builder("boragegap.callers.waiting", this, m -> m.mWaiting).register(mRegistry);
+        Gauge.builder("boragegap.callers.waiting", this, m -> m.mWaitingCallers)
+                .register(mRegistry);
         Gauge.builder("boragegap.config.version", this, m -> m.mConfigVersion).register(mRegistry);
     }
 
@@ -53,7 +54,7 @@
     }
 
     void answered(Verdict verdict, long waitedMs) {
-        mAnswers.get(verdict.getClass()).record(Duration.ofMillis(waitedMs));
+        mAnswerTimers.get(verdict.getClass()).record(Duration.ofMillis(waitedMs));
     }
 
     void refused() {
@@ -73,16 +74,16 @@
         Gauge.builder("boragegap.settings.replaced", () -> count).register(mRegistry);
     }
 
-    void publish(CellState state, int waiting, long configVersion) {
+    void update(CellState state, int waiting, long configVersion) {
         mState = state;
-        mWaiting = waiting;
+        mWaitingCallers = waiting;
         mConfigVersion = configVersion;
     }
 
     /** All figures as text. Those of the runtime are added by the first call: nobody else asks. */
     synchronized String scrape() {
-        if (!mRuntimeBound) {
-            mRuntimeBound = true;
+        if (!mJvmMetricsBound) {
+            mJvmMetricsBound = true;
             new JvmMemoryMetrics().bindTo(mRegistry);
         }
         return mRegistry.scrape();
--- a/entry/src/main/java/org/boragegap/entry/cell/CellNode.java
+++ b/entry/src/main/java/org/boragegap/entry/cell/CellNode.java
@@ -45,10 +45,10 @@
     private static final int SMALL_BODY_BYTES = 4_096;
 
     /** How often peers' connections are looked at, in ms: some times within their timeouts. */
-    private static final long PROBE_EVERY_MS = 250;
+    private static final long PROBE_INTERVAL_MS = 250;
 
     /** How often figures of the control state are handed to the metrics, in ms. */
-    private static final long PUBLISH_EVERY_MS = 1_000;
+    private static final long METRICS_INTERVAL_MS = 1_000;
 
     /**
      * How long a read of the configuration may be held back by the store, in ms. A change must be
@@ -70,7 +70,7 @@
     private static final long SERVE_ON_MS = 2_200;
 
     /** How often a stopping process looks whether all callers are answered, in ms. */
-    private static final long DRAIN_LOOK_MS = 20;
+    private static final long DRAIN_CHECK_INTERVAL_MS = 20;
 
     private final ClockReading mBegan;
     private final Settings mSettings;
@@ -81,19 +81,19 @@
     private final CellPeers mPeers;
     private final CellMetrics mMetrics = new CellMetrics();
     private final JobApi mJobs;
-    private final LayoutKeeper mLayout;
+    private final LayoutResolver mLayout;
     private final ControlThread mThread;
-    private final GroupKeeper mGroup;
-    private final TopicFollower mConfig;
-    private final TopicFollower mTargets;
-    private final ListedTargets mListed = ListedTargets.create();
+    private final GroupMembership mGroup;
+    private final TopicWatcher mConfigWatcher;
+    private final TopicWatcher mTargetsWatcher;
+    private final ListedTargets mListedTargets = ListedTargets.create();
     private final List<HttpEndpoint> mEndpoints = new ArrayList<>();
     private final ScheduledExecutorService mTimer = timer();
     private final CountDownLatch mDrained = new CountDownLatch(1);
     private volatile Cells mCells = Cells.none();
 
     /** What operators want emptied, once it is known; for the control thread. */
-    private Optional<Set<String>> mEvacuated = Optional.empty();
+    private Optional<Set<String>> mEvacuatedDomains = Optional.empty();
 
     private volatile boolean mDraining;
 
@@ -111,32 +111,34 @@
                         mSelf,
                         this::received);
         mMetrics.settingsReplaced(settings.replaced().size());
-        mThread = new ControlThread(() -> mCells.tick(), () -> mCells.tickMs(), mPeers::flush);
-        mJobs = new JobApi(new Desk(), mMetrics);
+        mThread =
+                new ControlThread(
+                        () -> mCells.tick(), () -> mCells.tickIntervalMs(), mPeers::flush);
+        mJobs = new JobApi(new ApiCallbacks(), mMetrics);
         mGroup =
-                new GroupKeeper(
+                new GroupMembership(
                         mStore,
                         mTimer,
                         mSelf,
                         incarnation,
                         settings.cpuMillis(),
                         settings.number(Setting.GROUP_LEASE_MS),
-                        () -> mCells.wanted(),
+                        () -> mCells.wantedCells(),
                         this::joined,
                         this::membersRead);
         mLayout =
-                new LayoutKeeper(
+                new LayoutResolver(
                         mStore, mTimer, mGroup::start, mGroup::cpuMillis, this::layoutKnown);
-        mConfig =
-                new TopicFollower(
+        mConfigWatcher =
+                new TopicWatcher(
                         mStore,
                         mTimer,
                         Topics.OPERATORS,
                         CONFIG_WAIT_MS,
                         CONFIG_PAUSE_MS,
                         this::operatorsChanged);
-        mTargets =
-                new TopicFollower(
+        mTargetsWatcher =
+                new TopicWatcher(
                         mStore, mTimer, Topics.TARGETS, 0, TARGETS_PAUSE_MS, this::targetsChanged);
     }
 
@@ -187,16 +189,19 @@
         mHttp.start();
         mPeers.start();
         mThread.start();
-        mConfig.start();
+        mConfigWatcher.start();
         mLayout.start();
         mTimer.scheduleWithFixedDelay(
-                this::probe, PROBE_EVERY_MS, PROBE_EVERY_MS, TimeUnit.MILLISECONDS);
+                this::probePeers, PROBE_INTERVAL_MS, PROBE_INTERVAL_MS, TimeUnit.MILLISECONDS);
         mTimer.scheduleWithFixedDelay(
-                this::publish, PUBLISH_EVERY_MS, PUBLISH_EVERY_MS, TimeUnit.MILLISECONDS);
+                this::updateMetrics,
+                METRICS_INTERVAL_MS,
+                METRICS_INTERVAL_MS,
+                TimeUnit.MILLISECONDS);
         int bodyBytes = (int) mSettings.number(Setting.BODY_BYTES);
         listen("callers", Setting.CALLER_ADDRESS, bodyBytes, mJobs::handle);
-        listen("ready", Setting.READY_ADDRESS, SMALL_BODY_BYTES, this::ready);
-        listen("metrics", Setting.METRICS_ADDRESS, SMALL_BODY_BYTES, this::metrics);
+        listen("ready", Setting.READY_ADDRESS, SMALL_BODY_BYTES, this::handleReadiness);
+        listen("metrics", Setting.METRICS_ADDRESS, SMALL_BODY_BYTES, this::handleMetrics);
         sLog.info("entry VM {} takes callers", mSelf);
     }
 
@@ -223,15 +228,16 @@
                                     layout,
                                     cpuMillis,
                                     began.monotonicMs(),
-                                    cell -> control(cell, layout, cpuMillis, began));
-                    mEvacuated.ifPresent(mCells::evacuated);
-                    mTimer.execute(() -> mGroup.atLeast(layout.minLeaseMs()));
+                                    cell -> createDriver(cell, layout, cpuMillis, began));
+                    mEvacuatedDomains.ifPresent(mCells::domainsEvacuated);
+                    mTimer.execute(() -> mGroup.minLeaseMs(layout.minLeaseMs()));
                     mTimer.execute(mGroup::start);
                     mTimer.execute(mGroup::join);
                 });
     }
 
-    private CellControl control(int cell, CellLayout layout, int cpuMillis, ClockReading began) {
+    private CellMemberDriver createDriver(
+            int cell, CellLayout layout, int cpuMillis, ClockReading began) {
         CellSettings settings =
                 new CellSettings(
                         mSettings.number(Setting.TARGET_LEASE_MS),
@@ -240,7 +246,7 @@
         long leaseMs = Math.max(grantedMs, layout.minLeaseMs());
         CellMember member = CellMember.create(mSelf, cell, settings, leaseMs, began);
         member.deployment(layout.cells(), cpuMillis);
-        return new CellControl(member, new Output(cell));
+        return new CellMemberDriver(member, new Output(cell));
     }
 
     private void joined(long generation, Set<Integer> held, ClockReading sent) {
@@ -258,23 +264,23 @@
         mThread.post(() -> mCells.onAll(new MemberEvent.PeersListed(peers, askedMs)));
     }
 
-    private void ready(HttpIn in) {
-        boolean ready = !mDraining && mJobs.configured() && mCells.servesCallers();
+    private void handleReadiness(HttpIn in) {
+        boolean ready = !mDraining && mJobs.configured() && mCells.canServeCallers();
         in.reply(ready ? OK : UNAVAILABLE, "{}");
     }
 
-    private void metrics(HttpIn in) {
+    private void handleMetrics(HttpIn in) {
         in.reply(OK, "text/plain; version=0.0.4", Map.of(), mMetrics.scrape());
     }
 
-    private void probe() {
+    private void probePeers() {
         mPeers.probe(HttpCaller.nowMs());
     }
 
-    private void publish() {
+    private void updateMetrics() {
         mThread.post(
                 () ->
-                        mMetrics.publish(
+                        mMetrics.update(
                                 mCells.state(), mCells.waitingCallers(), mJobs.configVersion()));
     }
 
@@ -286,8 +292,8 @@
     private void evacuationsChanged(Set<String> domains) {
         mThread.post(
                 () -> {
-                    mEvacuated = Optional.of(domains);
-                    mCells.evacuated(domains);
+                    mEvacuatedDomains = Optional.of(domains);
+                    mCells.domainsEvacuated(domains);
                 });
     }
 
@@ -304,7 +310,7 @@
     }
 
     private void targetsChanged(Map<String, byte[]> records) {
-        List<TargetInfo> targets = new ArrayList<>(mListed.decode(records));
+        List<TargetInfo> targets = new ArrayList<>(mListedTargets.decode(records));
         // Not of this deployment: nobody may answer there, and a new controller waits for answers.
         targets.removeIf(target -> !mJobs.knowsService(target.service()));
         mThread.post(() -> mCells.targetsListed(targets));
@@ -316,21 +322,24 @@
             return;
         }
         mDraining = true;
-        mJobs.stopping();
+        mJobs.closeConnectionsAfterReply();
         sLog.info("draining");
         mThread.post(() -> mCells.onAll(new MemberEvent.Resigned()));
-        mTimer.schedule(this::close, SERVE_ON_MS, TimeUnit.MILLISECONDS);
+        mTimer.schedule(this::refuseNewCallers, SERVE_ON_MS, TimeUnit.MILLISECONDS);
     }
 
     /** Takes no more callers, and looks until those that wait are answered. */
-    private void close() {
+    private void refuseNewCallers() {
         sLog.info("draining: takes no more callers");
         mThread.post(() -> mCells.onAll(new MemberEvent.Draining()));
         mTimer.scheduleWithFixedDelay(
-                this::lookDrained, DRAIN_LOOK_MS, DRAIN_LOOK_MS, TimeUnit.MILLISECONDS);
+                this::leaveWhenDrained,
+                DRAIN_CHECK_INTERVAL_MS,
+                DRAIN_CHECK_INTERVAL_MS,
+                TimeUnit.MILLISECONDS);
     }
 
-    private void lookDrained() {
+    private void leaveWhenDrained() {
         mThread.post(
                 () -> {
                     if (mCells.waitingCallers() == 0 && mCells.mayLeave()) {
@@ -356,23 +365,23 @@
     }
 
     private void received(List<PeerMessage.Cell> messages) {
-        mThread.post(() -> messages.forEach(this::receivedOne));
+        mThread.post(() -> messages.forEach(this::deliver));
     }
 
-    private void receivedOne(PeerMessage.Cell cell) {
+    private void deliver(PeerMessage.Cell cell) {
         mCells.on(cell.cell(), new MemberEvent.Received(cell.from(), cell.message()));
     }
 
-    private final class Desk implements JobApi.Desk {
+    private final class ApiCallbacks implements JobApi.Callbacks {
         @Override
         public OptionalInt cellOfJob(String id) {
             Cells cells = mCells;
-            return cells.known() ? OptionalInt.of(cells.cellOfJob(id)) : OptionalInt.empty();
+            return cells.layoutKnown() ? OptionalInt.of(cells.cellOfJob(id)) : OptionalInt.empty();
         }
 
         @Override
-        public boolean servesCallers() {
-            return mCells.servesCallers();
+        public boolean canServeCallers() {
+            return mCells.canServeCallers();
         }
 
         @Override
@@ -383,35 +392,35 @@
 
     private final class Output implements CellOutput {
         private final int mCell;
-        private final OrderSender mSender;
+        private final OrderSender mOrderSender;
 
-        private final CellPeers.Voice mVoice;
+        private final CellPeers.Channel mChannel;
 
         private Output(int cell) {
             mCell = cell;
-            mVoice = mPeers.voice(cell);
-            mSender =
+            mChannel = mPeers.channel(cell);
+            mOrderSender =
                     new OrderSender(mOrders, event -> mThread.post(() -> mCells.on(mCell, event)));
         }
 
         @Override
         public void send(String address, CellMessage message) {
-            mVoice.say(address, message);
+            mChannel.send(address, message);
         }
 
         @Override
         public void extend(CellAction.ExtendLease order) {
-            mSender.extend(order);
+            mOrderSender.extend(order);
         }
 
         @Override
         public void start(CellAction.StartRun order) {
-            mSender.start(order);
+            mOrderSender.start(order);
         }
 
         @Override
         public void stop(CellAction.StopRun order) {
-            mSender.stop(order);
+            mOrderSender.stop(order);
         }
 
         @Override
@@ -420,13 +429,13 @@
         }
 
         @Override
-        public void followTargets(boolean follow) {
-            boolean any = mCells.follow(mCell, follow);
+        public void watchTargets(boolean follow) {
+            boolean any = mCells.watchTargets(mCell, follow);
             if (follow) {
                 // Reads the whole list again, for a cell that has not had it.
-                mTargets.start();
+                mTargetsWatcher.start();
             } else if (!any) {
-                mTargets.stop();
+                mTargetsWatcher.stop();
             }
         }
 
@@ -436,7 +445,7 @@
         }
 
         @Override
-        public void joinAgain() {
+        public void rejoin() {
             mTimer.execute(mGroup::join);
         }
     }
--- a/entry/src/main/java/org/boragegap/entry/cell/CellOutput.java
+++ b/entry/src/main/java/org/boragegap/entry/cell/CellOutput.java
@@ -22,11 +22,11 @@
     void reply(EntryAction.Reply reply);
 
     /** Begins or ends following the platform's list of targets. */
-    void followTargets(boolean follow);
+    void watchTargets(boolean follow);
 
     /** Reads at once who is in the group. */
     void readMembers();
 
     /** Joins the group again at once, so that the store can go on dealing. */
-    void joinAgain();
+    void rejoin();
 }
--- a/entry/src/main/java/org/boragegap/entry/cell/CellPeers.java
+++ b/entry/src/main/java/org/boragegap/entry/cell/CellPeers.java
@@ -22,7 +22,7 @@
     private final Outbox mOutbox = new Outbox(this::send);
 
     /** By peer address, the connection on which that VM last sent something. */
-    private final Map<String, Long> mLinkFrom = new ConcurrentHashMap<>();
+    private final Map<String, Long> mLinkByAddress = new ConcurrentHashMap<>();
 
     /**
      * Makes the peers' side of a process that is not started.
@@ -56,26 +56,26 @@
     }
 
     /** The voice of one cell. For the control thread. */
-    Voice voice(int cell) {
-        return new Voice(cell);
+    Channel channel(int cell) {
+        return new Channel(cell);
     }
 
     /** Says things about one cell; they go out with the next {@link #flush}. */
-    final class Voice {
+    final class Channel {
         private final int mCell;
 
         /** The last frame: one message to all peers is one frame, which is encoded once. */
-        private PeerMessage.Cell mFrame = new PeerMessage.Cell("", 0, null);
+        private PeerMessage.Cell mLastFrame = new PeerMessage.Cell("", 0, null);
 
-        private Voice(int cell) {
+        private Channel(int cell) {
             mCell = cell;
         }
 
-        void say(String address, CellMessage message) {
-            if (mFrame.message() != message) {
-                mFrame = new PeerMessage.Cell(mSelf, mCell, message);
+        void send(String address, CellMessage message) {
+            if (mLastFrame.message() != message) {
+                mLastFrame = new PeerMessage.Cell(mSelf, mCell, message);
             }
-            mOutbox.add(address, message instanceof CellMessage.HeartbeatReply, mFrame);
+            mOutbox.add(address, message instanceof CellMessage.HeartbeatReply, mLastFrame);
         }
     }
 
@@ -85,7 +85,7 @@
      * another one.
      */
     private void send(String address, boolean back, PeerMessage frame) {
-        Long link = back ? mLinkFrom.get(address) : null;
+        Long link = back ? mLinkByAddress.get(address) : null;
         if (link == null || !mTransport.answer(link, frame)) {
             mTransport.send(address, frame);
         }
@@ -103,7 +103,7 @@
 
         private void received(long link, List<PeerMessage.Cell> messages) {
             if (link != 0 && !messages.isEmpty()) {
-                mLinkFrom.put(messages.get(0).from(), link);
+                mLinkByAddress.put(messages.get(0).from(), link);
             }
             mReceived.accept(messages);
         }
--- a/entry/src/main/java/org/boragegap/entry/cell/Cells.java
+++ b/entry/src/main/java/org/boragegap/entry/cell/Cells.java
@@ -19,20 +19,20 @@
  */
 final class Cells {
     /** A process that is younger than this, in ms, is slow: it compiles its code as it runs. */
-    private static final long YOUNG_MS = 2_000;
+    private static final long WARM_UP_MS = 2_000;
 
     /**
      * Time between two ticks while some cell is busy, in ms: less than half of the shortest timeout
      * that they watch over.
      */
-    private static final long BUSY_TICK_MS = 10;
+    private static final long SHORT_TICK_MS = 10;
 
     /** Time between two ticks while no cell is known, in ms: there is nothing to watch over. */
-    private static final long NO_CELL_TICK_MS = 100;
+    private static final long NO_LAYOUT_TICK_MS = 100;
 
     private final Optional<CellLayout> mLayout;
-    private final List<CellControl> mControls = new ArrayList<>();
-    private final Set<Integer> mFollowing = new HashSet<>();
+    private final List<CellMemberDriver> mDrivers = new ArrayList<>();
+    private final Set<Integer> mWatchingTargets = new HashSet<>();
     private final int mCpuMillis;
     private final long mBeganMs;
 
@@ -55,22 +55,22 @@
      * @param control makes this VM's part in the cell of a number
      */
     static Cells create(
-            CellLayout layout, int cpuMillis, long beganMs, IntFunction<CellControl> control) {
+            CellLayout layout, int cpuMillis, long beganMs, IntFunction<CellMemberDriver> control) {
         Cells cells = new Cells(Optional.of(layout), cpuMillis, beganMs);
         for (int cell = 0; cell < layout.cells(); cell++) {
-            cells.mControls.add(control.apply(cell));
+            cells.mDrivers.add(control.apply(cell));
         }
         return cells;
     }
 
     /** True when the layout is known; to be read on any thread. */
-    boolean known() {
+    boolean layoutKnown() {
         return mLayout.isPresent();
     }
 
     /** How many there are; 0 while the layout isn't known. */
     int count() {
-        return mControls.size();
+        return mDrivers.size();
     }
 
     /** Cell of a job; to be called on any thread once the layout is known. */
@@ -80,8 +80,8 @@
 
     /** Passes an event on; one for a cell that the layout doesn't have is dropped. */
     void on(int cell, MemberEvent event) {
-        if (cell >= 0 && cell < mControls.size()) {
-            mControls.get(cell).on(event);
+        if (cell >= 0 && cell < mDrivers.size()) {
+            mDrivers.get(cell).on(event);
         }
     }
 
@@ -95,7 +95,7 @@
 
     /** Passes an event on to all cells. */
     void onAll(MemberEvent event) {
-        mControls.forEach(control -> control.on(event));
+        mDrivers.forEach(control -> control.on(event));
     }
 
     /**
@@ -105,35 +105,38 @@
      */
     void tick() {
         long nowMs = ControlThread.clock().monotonicMs();
-        int youth = nowMs - mBeganMs < YOUNG_MS ? 1 : 0;
-        for (CellControl control : mControls) {
+        int youth = nowMs - mBeganMs < WARM_UP_MS ? 1 : 0;
+        for (CellMemberDriver control : mDrivers) {
             // Counted anew for each: one that has just asked for a cell is not the strongest VM for
             // the next one. Counted once a tick, one weak VM of 18 took three of ten cells.
-            control.strength(mCpuMillis / (1 + wantedBeside(control) + youth));
+            control.strength(mCpuMillis / (1 + otherWantedCells(control) + youth));
             control.tick(nowMs);
         }
     }
 
-    private int wantedBeside(CellControl control) {
+    private int otherWantedCells(CellMemberDriver control) {
         int wanted = 0;
-        for (CellControl other : mControls) {
+        for (CellMemberDriver other : mDrivers) {
             wanted += other != control && other.wantsCell() ? 1 : 0;
         }
         return wanted;
     }
 
     /** Time to the next tick, in ms: soon if some cell has something that can't wait. */
-    long tickMs() {
-        long tickMs = NO_CELL_TICK_MS;
-        for (CellControl control : mControls) {
-            tickMs = Math.min(tickMs, control.busy() ? BUSY_TICK_MS : control.idleTickMs());
+    long tickIntervalMs() {
+        long tickMs = NO_LAYOUT_TICK_MS;
+        for (CellMemberDriver control : mDrivers) {
+            tickMs =
+                    Math.min(
+                            tickMs,
+                            control.needsShortTicks() ? SHORT_TICK_MS : control.idleTickMs());
         }
         return tickMs;
     }
 
     /** Tells each cell that follows the list of targets which of them are its own. */
     void targetsListed(List<TargetInfo> targets) {
-        for (int cell : mFollowing) {
+        for (int cell : mWatchingTargets) {
             List<TargetInfo> own = new ArrayList<>();
             for (TargetInfo target : targets) {
                 if (mLayout.orElseThrow().cellOfTarget(target.id()) == cell) {
@@ -145,27 +148,27 @@
     }
 
     /** Tells all cells which failure domains operators want emptied. */
-    void evacuated(Set<String> domains) {
-        for (int cell = 0; cell < mControls.size(); cell++) {
+    void domainsEvacuated(Set<String> domains) {
+        for (int cell = 0; cell < mDrivers.size(); cell++) {
             on(cell, new CellEvent.DomainsEvacuated(domains));
         }
     }
 
     /** A cell begins or ends following the list; true when any cell does. */
-    boolean follow(int cell, boolean follow) {
+    boolean watchTargets(int cell, boolean follow) {
         if (follow) {
-            mFollowing.add(cell);
+            mWatchingTargets.add(cell);
         } else {
-            mFollowing.remove(cell);
+            mWatchingTargets.remove(cell);
         }
-        return !mFollowing.isEmpty();
+        return !mWatchingTargets.isEmpty();
     }
 
     /** Cells that this VM asks the group for; to be read on any thread. */
-    Set<Integer> wanted() {
+    Set<Integer> wantedCells() {
         Set<Integer> wanted = new HashSet<>();
-        for (int cell = 0; cell < mControls.size(); cell++) {
-            if (mControls.get(cell).wantsCell()) {
+        for (int cell = 0; cell < mDrivers.size(); cell++) {
+            if (mDrivers.get(cell).wantsCell()) {
                 wanted.add(cell);
             }
         }
@@ -173,22 +176,22 @@
     }
 
     /** Whether callers do well to come to this VM; to be read on any thread. */
-    boolean servesCallers() {
-        return mControls.stream().anyMatch(CellControl::servesCallers);
+    boolean canServeCallers() {
+        return mDrivers.stream().anyMatch(CellMemberDriver::canServeCallers);
     }
 
     int waitingCallers() {
-        return mControls.stream().mapToInt(CellControl::waitingCallers).sum();
+        return mDrivers.stream().mapToInt(CellMemberDriver::waitingCallers).sum();
     }
 
     boolean mayLeave() {
-        return mControls.stream().allMatch(CellControl::mayLeave);
+        return mDrivers.stream().allMatch(CellMemberDriver::mayLeave);
     }
 
     /** What this VM controls, over all cells. */
     CellState state() {
         CellState sum = CellState.NONE;
-        for (CellControl control : mControls) {
+        for (CellMemberDriver control : mDrivers) {
             sum = sum.plus(control.state());
         }
         return sum;
--- a/entry/src/main/java/org/boragegap/entry/cell/ControlThread.java
+++ b/entry/src/main/java/org/boragegap/entry/cell/ControlThread.java
@@ -14,12 +14,12 @@
     private static final Logger sLog = LogManager.getLogger(ControlThread.class);
 
     /** Events that are handled before what they led to is sent: some ms of work. */
-    private static final int MOST_EVENTS_A_TURN = 32;
+    private static final int MAX_EVENTS_PER_BATCH = 32;
 
     private final BlockingQueue<Runnable> mQueue = new LinkedBlockingQueue<>();
     private final Runnable mTick;
-    private final LongSupplier mTickMs;
-    private final Runnable mTurnEnded;
+    private final LongSupplier mTickIntervalMs;
+    private final Runnable mAfterBatch;
     private final Thread mThread = new Thread(this::run, "control");
     private volatile boolean mStopped;
 
@@ -32,17 +32,17 @@
      */
     ControlThread(Runnable tick, LongSupplier tickMs, Runnable turnEnded) {
         mTick = tick;
-        mTickMs = tickMs;
-        mTurnEnded = turnEnded;
+        mTickIntervalMs = tickMs;
+        mAfterBatch = turnEnded;
     }
 
     /**
      * Runs an event and those that wait already. What they have to say to one VM goes out as one
      * frame then; under load several wait at a time.
      */
-    private void runWithWhatWaits(Runnable first) {
+    private void runBatch(Runnable first) {
         first.run();
-        for (int i = 1; i < MOST_EVENTS_A_TURN; i++) {
+        for (int i = 1; i < MAX_EVENTS_PER_BATCH; i++) {
             Runnable next = mQueue.poll();
             if (next == null) {
                 return;
@@ -78,15 +78,15 @@
         long tickedMs = HttpCaller.nowMs();
         while (!mStopped) {
             try {
-                long waitMs = tickedMs + mTickMs.getAsLong() - HttpCaller.nowMs();
+                long waitMs = tickedMs + mTickIntervalMs.getAsLong() - HttpCaller.nowMs();
                 Runnable task = waitMs > 0 ? mQueue.poll(waitMs, TimeUnit.MILLISECONDS) : null;
                 if (task != null) {
-                    runWithWhatWaits(task);
+                    runBatch(task);
                 } else {
                     mTick.run();
                     tickedMs = HttpCaller.nowMs();
                 }
-                mTurnEnded.run();
+                mAfterBatch.run();
             } catch (InterruptedException e) {
                 return;
             } catch (RuntimeException e) {
--- a/entry/src/main/java/org/boragegap/entry/cell/GroupKeeper.java
+++ b/entry/src/main/java/org/boragegap/entry/cell/GroupMembership.java
@@ -17,18 +17,18 @@
 import org.boragegap.platform.StoreResult;
 
 /** Keeps this VM in the group of entry VMs, and reads who else is in it. */
-final class GroupKeeper {
-    private static final Logger sLog = LogManager.getLogger(GroupKeeper.class);
+final class GroupMembership {
+    private static final Logger sLog = LogManager.getLogger(GroupMembership.class);
     private static final String GROUP = "boragegap";
 
     /** Each cell has a topic, whose partition 0 is the cell. */
-    private static final String CELL_TOPIC = "cell-";
+    private static final String CELL_TOPIC_PREFIX = "cell-";
 
     /**
      * Further topics, so that each member holds some partition and can be found by it: at twelve
      * partitions each, enough for sixty entry VMs.
      */
-    private static final List<String> ROSTERS =
+    private static final List<String> ROSTER_TOPICS =
             List.of("roster-1", "roster-2", "roster-3", "roster-4", "roster-5");
 
     /** Joins within one lease: three may be lost. */
@@ -38,36 +38,36 @@
      * How often the list of members is read, in ms. VMs that come make themselves known, and a VM
      * that misses its controller reads more often; this is for those that went for good.
      */
-    private static final long MEMBERS_EVERY_MS = 3_000;
+    private static final long MEMBERS_POLL_MS = 3_000;
 
-    private static final long ANSWER_WITHIN_MS = 600;
+    private static final long ANSWER_TIMEOUT_MS = 600;
 
     /** Least time between two reads of the members, in ms; a new controller asks as often. */
-    private static final long LEAST_BETWEEN_READS_MS = 100;
+    private static final long MIN_READ_INTERVAL_MS = 100;
 
     /** Between the parts of a member's name: address, incarnation, processor. */
-    private static final String SEPARATOR = "/";
+    private static final String NAME_SEPARATOR = "/";
 
     private final StoreClient mStore;
     private final ScheduledExecutorService mTimer;
     private final String mAddress;
-    private final String mMember;
+    private final String mMemberName;
     private final int mCpuMillis;
-    private final long mGrantedMs;
+    private final long mConfiguredLeaseMs;
     private long mLeaseMs;
-    private final Supplier<Set<Integer>> mWanted;
-    private final Joined mJoined;
-    private final MembersRead mPeers;
+    private final Supplier<Set<Integer>> mWantedCells;
+    private final JoinListener mJoinListener;
+    private final MembersListener mMembersListener;
     private volatile Set<String> mMembers = Set.of();
     private volatile long mGeneration;
     private volatile boolean mLeft;
-    private boolean mLost;
+    private boolean mJoinFailing;
     private boolean mStarted;
-    private boolean mReadPlanned;
+    private boolean mReadScheduled;
     private long mMembersReadMs;
 
     /** Takes the answers to joins. */
-    interface Joined {
+    interface JoinListener {
         /**
          * The store answered a join.
          *
@@ -79,17 +79,17 @@
     }
 
     /** Takes who is in the group. */
-    interface MembersRead {
+    interface MembersListener {
         /**
          * The store answered.
          *
          * @param peers peer addresses of the others
          * @param askedMs when it was asked, on the monotonic clock, in ms
          */
-        void read(Set<String> peers, long askedMs);
+        void membersRead(Set<String> peers, long askedMs);
     }
 
-    GroupKeeper(
+    GroupMembership(
             StoreClient store,
             ScheduledExecutorService timer,
             String address,
@@ -97,24 +97,24 @@
             int cpuMillis,
             long leaseMs,
             Supplier<Set<Integer>> wanted,
-            Joined joined,
-            MembersRead peers) {
+            JoinListener joined,
+            MembersListener peers) {
         mStore = store;
         mTimer = timer;
         mAddress = address;
         // Another life of this VM is another member: what the earlier one held is dealt anew.
-        mMember = address + SEPARATOR + incarnation + SEPARATOR + cpuMillis;
+        mMemberName = address + NAME_SEPARATOR + incarnation + NAME_SEPARATOR + cpuMillis;
         mCpuMillis = cpuMillis;
-        mGrantedMs = leaseMs;
+        mConfiguredLeaseMs = leaseMs;
         mLeaseMs = leaseMs;
-        mWanted = wanted;
-        mJoined = joined;
-        mPeers = peers;
+        mWantedCells = wanted;
+        mJoinListener = joined;
+        mMembersListener = peers;
     }
 
     /** Asks for a longer lease from now on; to be called on the timer's thread. */
-    void atLeast(long leaseMs) {
-        mLeaseMs = Math.max(mGrantedMs, leaseMs);
+    void minLeaseMs(long leaseMs) {
+        mLeaseMs = Math.max(mConfiguredLeaseMs, leaseMs);
     }
 
     /** Joins from now on; to be called on the timer's thread, and again without effect. */
@@ -123,10 +123,10 @@
             return;
         }
         mStarted = true;
-        long everyMs = mGrantedMs / JOINS_PER_LEASE;
+        long everyMs = mConfiguredLeaseMs / JOINS_PER_LEASE;
         mTimer.scheduleAtFixedRate(this::join, 0, everyMs, TimeUnit.MILLISECONDS);
         mTimer.scheduleWithFixedDelay(
-                this::readMembers, everyMs, MEMBERS_EVERY_MS, TimeUnit.MILLISECONDS);
+                this::readMembers, everyMs, MEMBERS_POLL_MS, TimeUnit.MILLISECONDS);
     }
 
     void join() {
@@ -134,15 +134,15 @@
             return;
         }
         ClockReading sent = ControlThread.clock();
-        List<String> topics = new ArrayList<>(ROSTERS);
-        mWanted.get().forEach(cell -> topics.add(CELL_TOPIC + cell));
+        List<String> topics = new ArrayList<>(ROSTER_TOPICS);
+        mWantedCells.get().forEach(cell -> topics.add(CELL_TOPIC_PREFIX + cell));
         mStore.join(
                 GROUP,
-                mMember,
+                mMemberName,
                 topics,
                 mLeaseMs,
                 mGeneration,
-                ANSWER_WITHIN_MS,
+                ANSWER_TIMEOUT_MS,
                 result -> mTimer.execute(() -> joined(sent, result)));
     }
 
@@ -151,26 +151,27 @@
             return;
         }
         if (!(result instanceof StoreResult.Good<GroupShare> good)) {
-            if (!mLost) {
+            if (!mJoinFailing) {
                 sLog.warn("can't join the group: {}", result);
             }
-            mLost = true;
+            mJoinFailing = true;
             return;
         }
-        if (mLost) {
+        if (mJoinFailing) {
             sLog.info("joined the group again");
         }
-        mLost = false;
+        mJoinFailing = false;
         GroupShare share = good.value();
         mGeneration = Math.max(mGeneration, share.generation());
-        mJoined.joined(share.generation(), cells(share), sent);
+        mJoinListener.joined(share.generation(), assignedCells(share), sent);
     }
 
-    private static Set<Integer> cells(GroupShare share) {
+    private static Set<Integer> assignedCells(GroupShare share) {
         Set<Integer> cells = new HashSet<>();
         for (GroupShare.Partition partition : share.partitions()) {
-            if (partition.topic().startsWith(CELL_TOPIC) && partition.number() == 0) {
-                cells.add(Integer.parseInt(partition.topic().substring(CELL_TOPIC.length())));
+            if (partition.topic().startsWith(CELL_TOPIC_PREFIX) && partition.number() == 0) {
+                cells.add(
+                        Integer.parseInt(partition.topic().substring(CELL_TOPIC_PREFIX.length())));
             }
         }
         return cells;
@@ -181,18 +182,18 @@
      * it; with eight cells on 47 VMs that was a thousand calls to the store a second.
      */
     void readMembers() {
-        long waitMs = mMembersReadMs + LEAST_BETWEEN_READS_MS - HttpCaller.nowMs();
+        long waitMs = mMembersReadMs + MIN_READ_INTERVAL_MS - HttpCaller.nowMs();
         if (waitMs <= 0) {
             mMembersReadMs = HttpCaller.nowMs();
             readNow();
-        } else if (!mReadPlanned) {
-            mReadPlanned = true;
-            mTimer.schedule(this::readAsPlanned, waitMs, TimeUnit.MILLISECONDS);
+        } else if (!mReadScheduled) {
+            mReadScheduled = true;
+            mTimer.schedule(this::runScheduledRead, waitMs, TimeUnit.MILLISECONDS);
         }
     }
 
-    private void readAsPlanned() {
-        mReadPlanned = false;
+    private void runScheduledRead() {
+        mReadScheduled = false;
         readMembers();
     }
 
@@ -200,7 +201,7 @@
         long askedMs = HttpCaller.nowMs();
         mStore.members(
                 GROUP,
-                ANSWER_WITHIN_MS,
+                ANSWER_TIMEOUT_MS,
                 result -> mTimer.execute(() -> membersRead(result, askedMs)));
     }
 
@@ -211,7 +212,7 @@
         Set<String> peers = new HashSet<>();
         Set<String> members = new HashSet<>();
         for (GroupMember member : good.value()) {
-            int end = member.member().indexOf(SEPARATOR);
+            int end = member.member().indexOf(NAME_SEPARATOR);
             if (end > 0) {
                 peers.add(member.member().substring(0, end));
                 members.add(member.member());
@@ -219,16 +220,16 @@
         }
         peers.remove(mAddress);
         mMembers = members;
-        mPeers.read(peers, askedMs);
+        mMembersListener.membersRead(peers, askedMs);
     }
 
     /** Processor of each VM of the group, as last read, in thousandths of a core. */
     List<Integer> cpuMillis() {
         Set<String> others = new HashSet<>(mMembers);
-        others.remove(mMember);
+        others.remove(mMemberName);
         List<Integer> cpuMillis = new ArrayList<>(List.of(mCpuMillis));
         for (String member : others) {
-            String last = member.substring(member.lastIndexOf(SEPARATOR) + 1);
+            String last = member.substring(member.lastIndexOf(NAME_SEPARATOR) + 1);
             try {
                 cpuMillis.add(Integer.parseInt(last));
             } catch (NumberFormatException e) {
@@ -246,8 +247,8 @@
         mLeft = true;
         mStore.leave(
                 GROUP,
-                mMember,
-                ANSWER_WITHIN_MS,
+                mMemberName,
+                ANSWER_TIMEOUT_MS,
                 result -> sLog.info("left the group: {}", result));
     }
 }
--- a/entry/src/main/java/org/boragegap/entry/cell/JobApi.java
+++ b/entry/src/main/java/org/boragegap/entry/cell/JobApi.java
@@ -23,16 +23,16 @@
     private static final int OK = 200;
     private static final int BAD_REQUEST = 400;
     private static final int NOT_FOUND = 404;
-    private static final int NOT_ALLOWED = 405;
+    private static final int METHOD_NOT_ALLOWED = 405;
     private static final int GONE = 410;
 
     /** Takes what the desk of a cell has to know. */
-    interface Desk {
+    interface Callbacks {
         /** Cell of a job; empty while the layout of the deployment isn't known. */
         OptionalInt cellOfJob(String id);
 
         /** Whether callers do well to come to this VM. */
-        boolean servesCallers();
+        boolean canServeCallers();
 
         /** An event for the desk of a cell. */
         void on(int cell, EntryEvent event);
@@ -40,15 +40,15 @@
 
     private record Caller(HttpIn in, int cell) {}
 
-    private final Desk mDesk;
+    private final Callbacks mCallbacks;
     private final CellMetrics mMetrics;
     private final Map<Long, Caller> mCallers = new ConcurrentHashMap<>();
     private final AtomicLong mNextTicket = new AtomicLong(1);
     private volatile Configuration mConfiguration;
-    private volatile boolean mStopping;
+    private volatile boolean mClosingConnections;
 
-    JobApi(Desk desk, CellMetrics metrics) {
-        mDesk = desk;
+    JobApi(Callbacks desk, CellMetrics metrics) {
+        mCallbacks = desk;
         mMetrics = metrics;
     }
 
@@ -74,8 +74,8 @@
      * connections, and whatever they sent on one to a process that takes no more was refused,
      * though other entry VMs had room for it.
      */
-    void stopping() {
-        mStopping = true;
+    void closeConnectionsAfterReply() {
+        mClosingConnections = true;
     }
 
     boolean configured() {
@@ -110,9 +110,9 @@
         String rest = in.path().substring(route.get().prefix().length());
         switch (in.method()) {
             case "POST" -> submit(in, route.get(), configuration.version(), rest);
-            case "GET" -> show(in, rest);
+            case "GET" -> replyStatus(in, rest);
             case "DELETE" -> in.reply(GONE, JobProtocol.error("no such job"));
-            default -> in.reply(NOT_ALLOWED, JobProtocol.error("no such method"));
+            default -> in.reply(METHOD_NOT_ALLOWED, JobProtocol.error("no such method"));
         }
     }
 
@@ -123,7 +123,7 @@
     }
 
     /** Jobs that need not be stored are asked for by nobody later; no others are taken yet. */
-    private static void show(HttpIn in, String rest) {
+    private static void replyStatus(HttpIn in, String rest) {
         if (rest.isEmpty()) {
             in.reply(OK, JobProtocol.waiting(0));
         } else {
@@ -147,7 +147,7 @@
             refuse(in, id, JobProtocol.unavailable(unserved.reason()));
             return;
         }
-        OptionalInt cell = mDesk.cellOfJob(id);
+        OptionalInt cell = mCallbacks.cellOfJob(id);
         if (cell.isEmpty()) {
             refuse(in, id, JobProtocol.unavailable("the layout of the cells is not known yet"));
             return;
@@ -155,11 +155,11 @@
         long ticket = mNextTicket.getAndIncrement();
         mCallers.put(ticket, new Caller(in, cell.getAsInt()));
         long budgetMs = budgetMs(in, route);
-        mDesk.on(
+        mCallbacks.on(
                 cell.getAsInt(),
                 new EntryEvent.Submitted(
                         ticket, ((JobProtocol.Decoded.Job) decoded).request(), budgetMs));
-        in.whenClosed(() -> left(ticket));
+        in.whenClosed(() -> callerLeft(ticket));
     }
 
     private static long budgetMs(HttpIn in, Configuration.Route route) {
@@ -173,11 +173,11 @@
         }
     }
 
-    private void left(long ticket) {
+    private void callerLeft(long ticket) {
         Caller caller = mCallers.remove(ticket);
         if (caller != null) {
             mMetrics.callerLeft();
-            mDesk.on(caller.cell(), new EntryEvent.CallerLeft(ticket));
+            mCallbacks.on(caller.cell(), new EntryEvent.CallerLeft(ticket));
         }
     }
 
@@ -212,7 +212,7 @@
      * that it had.
      */
     private void send(HttpIn in, JobProtocol.Reply reply) {
-        if (mStopping || !mDesk.servesCallers()) {
+        if (mClosingConnections || !mCallbacks.canServeCallers()) {
             in.closeAfterReply();
         }
         Map<String, String> headers =
--- a/entry/src/main/java/org/boragegap/entry/cell/LayoutKeeper.java
+++ b/entry/src/main/java/org/boragegap/entry/cell/LayoutResolver.java
@@ -21,13 +21,13 @@
  * targets which doesn't grow any more decides it and writes it to the store; the store takes one
  * such record, so all others find and keep the same. All its state belongs to the timer's thread.
  */
-final class LayoutKeeper {
-    private static final Logger sLog = LogManager.getLogger(LayoutKeeper.class);
+final class LayoutResolver {
+    private static final Logger sLog = LogManager.getLogger(LayoutResolver.class);
 
     /**
      * How long an answer is waited for, in ms; a store that is slow takes a quarter of a second.
      */
-    private static final long ANSWER_WITHIN_MS = 500;
+    private static final long ANSWER_TIMEOUT_MS = 500;
 
     /** Pause after a call that failed, in ms. */
     private static final long RETRY_MS = 200;
@@ -36,15 +36,15 @@
      * Pause between two looks at a list that may still grow, in ms. Targets of a new deployment
      * write themselves into it every 1.5 s; all that start together are there after one pause.
      */
-    private static final long SETTLE_MS = 1_600;
+    private static final long RECOUNT_PAUSE_MS = 1_600;
 
     private final StoreClient mStore;
     private final ScheduledExecutorService mTimer;
-    private final Runnable mUndecided;
+    private final Runnable mLayoutMissing;
     private final Supplier<List<Integer>> mCpuMillis;
-    private final Consumer<CellLayout> mFound;
-    private int mTargetsBefore;
-    private int mTargets;
+    private final Consumer<CellLayout> mListener;
+    private int mPreviousTargetCount;
+    private int mTargetCount;
 
     /**
      * Makes a keeper that is not started.
@@ -53,7 +53,7 @@
      * @param cpuMillis processor of each entry VM that is known, in thousandths of a core
      * @param found takes the layout
      */
-    LayoutKeeper(
+    LayoutResolver(
             StoreClient store,
             ScheduledExecutorService timer,
             Runnable undecided,
@@ -61,98 +61,98 @@
             Consumer<CellLayout> found) {
         mStore = store;
         mTimer = timer;
-        mUndecided = undecided;
+        mLayoutMissing = undecided;
         mCpuMillis = cpuMillis;
-        mFound = found;
+        mListener = found;
     }
 
     void start() {
-        mTimer.execute(this::look);
+        mTimer.execute(this::readLayout);
     }
 
-    private void look() {
+    private void readLayout() {
         mStore.newest(
                 Topics.LAYOUT,
                 "",
-                ANSWER_WITHIN_MS,
-                result -> mTimer.execute(() -> looked(result)));
+                ANSWER_TIMEOUT_MS,
+                result -> mTimer.execute(() -> layoutRead(result)));
     }
 
-    private void lookIn(long delayMs) {
-        mTimer.schedule(this::look, delayMs, TimeUnit.MILLISECONDS);
+    private void scheduleRead(long delayMs) {
+        mTimer.schedule(this::readLayout, delayMs, TimeUnit.MILLISECONDS);
     }
 
-    private void looked(StoreResult<KeyedPage> result) {
+    private void layoutRead(StoreResult<KeyedPage> result) {
         if (!(result instanceof StoreResult.Good<KeyedPage> good)) {
             sLog.warn("the layout can't be read: {}", result);
-            lookIn(RETRY_MS);
+            scheduleRead(RETRY_MS);
             return;
         }
         for (KeyedRecord record : good.value().records()) {
             if (record.key().equals(Topics.CELLS_KEY)) {
-                found(record.value());
+                layoutFound(record.value());
                 return;
             }
         }
-        mUndecided.run();
-        mTargets = 0;
+        mLayoutMissing.run();
+        mTargetCount = 0;
         countTargets("");
     }
 
-    private void found(byte[] value) {
+    private void layoutFound(byte[] value) {
         String text = new String(value, StandardCharsets.UTF_8);
         Optional<CellLayout> layout = CellLayout.parse(text);
         if (layout.isEmpty()) {
             sLog.error("the layout in the store is no number of cells: '{}'", text);
-            lookIn(SETTLE_MS);
+            scheduleRead(RECOUNT_PAUSE_MS);
             return;
         }
         sLog.info("layout: {} cells", layout.get().cells());
-        mFound.accept(layout.get());
+        mListener.accept(layout.get());
     }
 
     private void countTargets(String after) {
         mStore.newest(
                 Topics.TARGETS,
                 after,
-                ANSWER_WITHIN_MS,
-                result -> mTimer.execute(() -> counted(result)));
+                ANSWER_TIMEOUT_MS,
+                result -> mTimer.execute(() -> targetsCounted(result)));
     }
 
-    private void counted(StoreResult<KeyedPage> result) {
+    private void targetsCounted(StoreResult<KeyedPage> result) {
         if (!(result instanceof StoreResult.Good<KeyedPage> good)) {
             sLog.warn("the list of targets can't be read: {}", result);
-            lookIn(RETRY_MS);
+            scheduleRead(RETRY_MS);
             return;
         }
         KeyedPage page = good.value();
-        mTargets += page.records().size();
+        mTargetCount += page.records().size();
         if (page.more() && !page.records().isEmpty()) {
             countTargets(page.records().get(page.records().size() - 1).key());
             return;
         }
-        boolean settled = mTargets > 0 && mTargets == mTargetsBefore;
-        mTargetsBefore = mTargets;
+        boolean settled = mTargetCount > 0 && mTargetCount == mPreviousTargetCount;
+        mPreviousTargetCount = mTargetCount;
         if (settled) {
-            decide();
+            proposeLayout();
         } else {
-            lookIn(SETTLE_MS);
+            scheduleRead(RECOUNT_PAUSE_MS);
         }
     }
 
-    private void decide() {
+    private void proposeLayout() {
         List<Integer> cpuMillis = mCpuMillis.get();
-        CellLayout layout = CellLayout.forDeployment(mTargets, cpuMillis);
+        CellLayout layout = CellLayout.forDeployment(mTargetCount, cpuMillis);
         sLog.info(
                 "layout: proposes {} cells for {} targets, {} VMs known",
                 layout.cells(),
-                mTargets,
+                mTargetCount,
                 cpuMillis.size());
         mStore.appendFirst(
                 Topics.LAYOUT,
                 Topics.CELLS_KEY,
                 layout.text().getBytes(StandardCharsets.UTF_8),
-                ANSWER_WITHIN_MS,
-                result -> mTimer.execute(this::look));
+                ANSWER_TIMEOUT_MS,
+                result -> mTimer.execute(this::readLayout));
     }
 }
--- a/entry/src/main/java/org/boragegap/entry/cell/OrderSender.java
+++ b/entry/src/main/java/org/boragegap/entry/cell/OrderSender.java
@@ -8,7 +8,7 @@
 /** Sends a cell's orders to targets and turns what becomes of them into events. */
 final class OrderSender {
     private final TargetOrders mOrders;
-    private final Consumer<CellEvent> mCell;
+    private final Consumer<CellEvent> mEvents;
 
     /**
      * Makes a sender.
@@ -17,11 +17,11 @@
      */
     OrderSender(TargetOrders orders, Consumer<CellEvent> cell) {
         mOrders = orders;
-        mCell = cell;
+        mEvents = cell;
     }
 
     void extend(CellAction.ExtendLease order) {
-        mOrders.extend(order, result -> mCell.accept(extended(order, result)));
+        mOrders.extend(order, result -> mEvents.accept(extended(order, result)));
     }
 
     private static CellEvent extended(
@@ -39,7 +39,7 @@
         mOrders.start(
                 order,
                 result ->
-                        mCell.accept(
+                        mEvents.accept(
                                 new CellEvent.StartAnswered(
                                         id, order.task(), order.run(), order.fence(), result)));
     }
@@ -49,7 +49,7 @@
         mOrders.stop(
                 order,
                 taken ->
-                        mCell.accept(
+                        mEvents.accept(
                                 new CellEvent.StopAnswered(id, order.task(), order.run(), taken)));
     }
 }
--- a/entry/src/main/java/org/boragegap/entry/cell/Outbox.java
+++ b/entry/src/main/java/org/boragegap/entry/cell/Outbox.java
@@ -17,47 +17,47 @@
         /**
          * Sends.
          *
-         * @param back over the connection on which that VM was heard, if it is open
+         * @param asReply over the connection on which that VM was heard, if it is open
          */
         void send(String address, boolean back, PeerMessage frame);
     }
 
-    private record Route(String address, boolean back) {}
+    private record Destination(String address, boolean asReply) {}
 
     private final Sender mSender;
-    private final Map<Route, List<PeerMessage.Cell>> mWaiting = new LinkedHashMap<>();
+    private final Map<Destination, List<PeerMessage.Cell>> mPending = new LinkedHashMap<>();
 
     Outbox(Sender sender) {
         mSender = sender;
     }
 
     void add(String address, boolean back, PeerMessage.Cell message) {
-        mWaiting.computeIfAbsent(new Route(address, back), route -> new ArrayList<>(1))
+        mPending.computeIfAbsent(new Destination(address, back), route -> new ArrayList<>(1))
                 .add(message);
     }
 
     /** Sends all; the same words to several VMs are one frame, which is encoded once. */
     void flush() {
-        if (mWaiting.isEmpty()) {
+        if (mPending.isEmpty()) {
             return;
         }
         PeerMessage.Batch last = new PeerMessage.Batch(List.of());
-        for (Map.Entry<Route, List<PeerMessage.Cell>> entry : mWaiting.entrySet()) {
-            Route route = entry.getKey();
+        for (Map.Entry<Destination, List<PeerMessage.Cell>> entry : mPending.entrySet()) {
+            Destination route = entry.getKey();
             List<PeerMessage.Cell> messages = entry.getValue();
             if (messages.size() == 1) {
-                mSender.send(route.address(), route.back(), messages.get(0));
+                mSender.send(route.address(), route.asReply(), messages.get(0));
                 continue;
             }
-            if (!sameWords(last.messages(), messages)) {
+            if (!sameMessages(last.messages(), messages)) {
                 last = new PeerMessage.Batch(messages);
             }
-            mSender.send(route.address(), route.back(), last);
+            mSender.send(route.address(), route.asReply(), last);
         }
-        mWaiting.clear();
+        mPending.clear();
     }
 
-    private static boolean sameWords(List<PeerMessage.Cell> one, List<PeerMessage.Cell> other) {
+    private static boolean sameMessages(List<PeerMessage.Cell> one, List<PeerMessage.Cell> other) {
         if (one.size() != other.size()) {
             return false;
         }
--- a/entry/src/main/java/org/boragegap/entry/cell/TopicFollower.java
+++ b/entry/src/main/java/org/boragegap/entry/cell/TopicWatcher.java
@@ -18,8 +18,8 @@
  * <p>When the store has deleted records that were not read yet, it starts over from the newest
  * records. All its state belongs to the timer's thread.
  */
-final class TopicFollower {
-    private static final Logger sLog = LogManager.getLogger(TopicFollower.class);
+final class TopicWatcher {
+    private static final Logger sLog = LogManager.getLogger(TopicWatcher.class);
 
     /** Pause after a read that failed, in ms. */
     private static final long RETRY_MS = 200;
@@ -28,20 +28,20 @@
      * How long an answer is waited for beyond the time for which the store may hold it back, in ms.
      * A connection can go silent for good; a store that is slow takes a quarter of a second.
      */
-    private static final long ANSWER_WITHIN_MS = 500;
+    private static final long ANSWER_TIMEOUT_MS = 500;
 
     private final StoreClient mStore;
     private final ScheduledExecutorService mTimer;
     private final String mTopic;
     private final long mWaitMs;
     private final long mPauseMs;
-    private final Consumer<Map<String, byte[]>> mChanged;
+    private final Consumer<Map<String, byte[]>> mListener;
     private final Map<String, byte[]> mRecords = new HashMap<>();
     private final Map<String, byte[]> mSnapshot = new HashMap<>();
-    private long mNext = -1;
+    private long mNextOffset = -1;
     private long mSnapshotEnd;
-    private boolean mLost;
-    private int mRound;
+    private boolean mReadFailing;
+    private int mEpoch;
 
     /**
      * Makes a follower.
@@ -50,7 +50,7 @@
      * @param pauseMs between two reads, in ms
      * @param changed takes all records after each change
      */
-    TopicFollower(
+    TopicWatcher(
             StoreClient store,
             ScheduledExecutorService timer,
             String topic,
@@ -62,24 +62,24 @@
         mTopic = topic;
         mWaitMs = waitMs;
         mPauseMs = pauseMs;
-        mChanged = changed;
+        mListener = changed;
     }
 
     void start() {
         mTimer.execute(
                 () -> {
-                    int round = ++mRound;
-                    mNext = -1;
-                    snapshot(round, "");
+                    int round = ++mEpoch;
+                    mNextOffset = -1;
+                    readSnapshot(round, "");
                 });
     }
 
     void stop() {
-        mTimer.execute(() -> mRound++);
+        mTimer.execute(() -> mEpoch++);
     }
 
-    private void snapshot(int round, String after) {
-        if (round != mRound) {
+    private void readSnapshot(int round, String after) {
+        if (round != mEpoch) {
             return;
         }
         if (after.isEmpty()) {
@@ -88,20 +88,20 @@
         mStore.newest(
                 mTopic,
                 after,
-                ANSWER_WITHIN_MS,
+                ANSWER_TIMEOUT_MS,
                 result -> mTimer.execute(() -> snapshotRead(round, after, result)));
     }
 
     private void snapshotRead(int round, String after, StoreResult<KeyedPage> result) {
-        if (round != mRound) {
+        if (round != mEpoch) {
             return;
         }
         if (!(result instanceof StoreResult.Good<KeyedPage> good)) {
-            lost(result);
-            mTimer.schedule(() -> snapshot(round, ""), RETRY_MS, TimeUnit.MILLISECONDS);
+            readFailed(result);
+            mTimer.schedule(() -> readSnapshot(round, ""), RETRY_MS, TimeUnit.MILLISECONDS);
             return;
         }
-        regained();
+        readSucceeded();
         KeyedPage page = good.value();
         if (after.isEmpty()) {
             // Pages are not taken at one moment: what changes meanwhile is read from here on.
@@ -109,54 +109,55 @@
         }
         apply(page, mSnapshot);
         if (page.more() && !page.records().isEmpty()) {
-            snapshot(round, page.records().get(page.records().size() - 1).key());
+            readSnapshot(round, page.records().get(page.records().size() - 1).key());
             return;
         }
         mRecords.clear();
         mRecords.putAll(mSnapshot);
-        mNext = mSnapshotEnd;
-        mChanged.accept(Map.copyOf(mRecords));
-        readOn(round);
+        mNextOffset = mSnapshotEnd;
+        mListener.accept(Map.copyOf(mRecords));
+        scheduleRead(round);
     }
 
-    private void readOn(int round) {
-        mTimer.schedule(() -> read(round), mPauseMs, TimeUnit.MILLISECONDS);
+    private void scheduleRead(int round) {
+        mTimer.schedule(() -> readChanges(round), mPauseMs, TimeUnit.MILLISECONDS);
     }
 
-    private void read(int round) {
-        if (round != mRound) {
+    private void readChanges(int round) {
+        if (round != mEpoch) {
             return;
         }
         mStore.read(
                 mTopic,
-                mNext,
+                mNextOffset,
                 mWaitMs,
-                mWaitMs + ANSWER_WITHIN_MS,
+                mWaitMs + ANSWER_TIMEOUT_MS,
                 result -> mTimer.execute(() -> changesRead(round, result)));
     }
 
     private void changesRead(int round, StoreResult<KeyedPage> result) {
-        if (round != mRound) {
+        if (round != mEpoch) {
             return;
         }
         if (result instanceof StoreResult.HistoryGone) {
-            sLog.info("records of {} from {} on are deleted: reads the newest", mTopic, mNext);
-            snapshot(round, "");
+            sLog.info(
+                    "records of {} from {} on are deleted: reads the newest", mTopic, mNextOffset);
+            readSnapshot(round, "");
             return;
         }
         if (!(result instanceof StoreResult.Good<KeyedPage> good)) {
-            lost(result);
-            mTimer.schedule(() -> read(round), RETRY_MS, TimeUnit.MILLISECONDS);
+            readFailed(result);
+            mTimer.schedule(() -> readChanges(round), RETRY_MS, TimeUnit.MILLISECONDS);
             return;
         }
-        regained();
+        readSucceeded();
         KeyedPage page = good.value();
-        mNext = page.next();
+        mNextOffset = page.next();
         if (!page.records().isEmpty()) {
             apply(page, mRecords);
-            mChanged.accept(Map.copyOf(mRecords));
+            mListener.accept(Map.copyOf(mRecords));
         }
-        readOn(round);
+        scheduleRead(round);
     }
 
     private static void apply(KeyedPage page, Map<String, byte[]> records) {
@@ -169,17 +170,17 @@
         }
     }
 
-    private void lost(StoreResult<KeyedPage> result) {
-        if (!mLost) {
+    private void readFailed(StoreResult<KeyedPage> result) {
+        if (!mReadFailing) {
             sLog.warn("topic {} can't be read: {}", mTopic, result);
         }
-        mLost = true;
+        mReadFailing = true;
     }
 
-    private void regained() {
-        if (mLost) {
-            sLog.info("topic {} can be read again, from {}", mTopic, mNext);
+    private void readSucceeded() {
+        if (mReadFailing) {
+            sLog.info("topic {} can be read again, from {}", mTopic, mNextOffset);
         }
-        mLost = false;
+        mReadFailing = false;
     }
 }
--- a/entry/src/test/java/org/boragegap/entry/cell/OutboxTest.java
+++ b/entry/src/test/java/org/boragegap/entry/cell/OutboxTest.java
@@ -16,21 +16,21 @@
  * frame, and the same words to several VMs are encoded once.
  */
 final class OutboxTest {
-    private record Sent(String address, boolean back, PeerMessage frame) {}
+    private record Sent(String address, boolean asReply, PeerMessage frame) {}
 
     private final List<Sent> mSent = new ArrayList<>();
     private final Outbox mOutbox =
             new Outbox((address, back, frame) -> mSent.add(new Sent(address, back, frame)));
 
-    private static PeerMessage.Cell missing(int cell) {
+    private static PeerMessage.Cell controllerMissing(int cell) {
         return new PeerMessage.Cell("vm1", cell, new CellMessage.ControllerMissing(7, 1_500));
     }
 
     @Test
-    void whatOneVmIsToldAboutEightCellsIsOneFrameInOrder() {
+    void messagesAboutEightCellsToOneVmAreOneFrameInOrder() {
         List<PeerMessage.Cell> messages = new ArrayList<>();
         for (int cell = 0; cell < 8; cell++) {
-            messages.add(missing(cell));
+            messages.add(controllerMissing(cell));
             mOutbox.add("vm2", false, messages.get(cell));
         }
         mOutbox.flush();
@@ -38,9 +38,9 @@
     }
 
     @Test
-    void theSameWordsToSeveralVmsAreTheSameFrame() {
-        PeerMessage.Cell one = missing(0);
-        PeerMessage.Cell two = missing(1);
+    void theSameMessagesToSeveralVmsShareOneFrame() {
+        PeerMessage.Cell one = controllerMissing(0);
+        PeerMessage.Cell two = controllerMissing(1);
         for (String address : List.of("vm2", "vm3", "vm4")) {
             mOutbox.add(address, false, one);
             mOutbox.add(address, false, two);
@@ -52,28 +52,29 @@
     }
 
     @Test
-    void otherWordsAreAnotherFrame() {
-        mOutbox.add("vm2", false, missing(0));
-        mOutbox.add("vm2", false, missing(1));
-        mOutbox.add("vm3", false, missing(0));
-        mOutbox.add("vm3", false, missing(2));
+    void differentMessagesAreDifferentFrames() {
+        mOutbox.add("vm2", false, controllerMissing(0));
+        mOutbox.add("vm2", false, controllerMissing(1));
+        mOutbox.add("vm3", false, controllerMissing(0));
+        mOutbox.add("vm3", false, controllerMissing(2));
         mOutbox.flush();
         assertThat(mSent.get(1).frame()).isNotEqualTo(mSent.get(0).frame());
     }
 
     @Test
-    void nothingIsSentTwice() {
-        mOutbox.add("vm2", true, missing(0));
+    void flushedMessagesAreNotSentAgain() {
+        mOutbox.add("vm2", true, controllerMissing(0));
         mOutbox.flush();
         mOutbox.flush();
-        assertThat(mSent).containsExactly(new Sent("vm2", true, missing(0)));
+        assertThat(mSent).containsExactly(new Sent("vm2", true, controllerMissing(0)));
     }
 
     @Test
-    void aFrameOfSeveralMessagesIsReadAgain() throws Exception {
+    void aFrameOfSeveralMessagesRoundTrips() throws Exception {
         CellMessage.Heartbeat leading = new CellMessage.Heartbeat(9, new ClockReading(5, 6), 150);
         PeerMessage.Batch batch =
-                new PeerMessage.Batch(List.of(missing(0), new PeerMessage.Cell("a", 3, leading)));
+                new PeerMessage.Batch(
+                        List.of(controllerMissing(0), new PeerMessage.Cell("a", 3, leading)));
         PeerCodec codec = PeerCodec.create();
         assertThat(codec.decode(codec.encode(batch))).isEqualTo(batch);
     }
