--- a/entry/src/main/java/org/boragegap/entry/cell/CellMemberDriver.java
+++ b/entry/src/main/java/org/boragegap/entry/cell/CellMemberDriver.java
@@ -8,7 +8,10 @@
 import org.boragegap.core.cell.MemberAction;
 import org.boragegap.core.cell.MemberEvent;
 
-/** Feeds the member of one cell its events and carries its actions out. For the control thread. */
+/**
+ * Passes events to the {@link CellMember} of one cell and executes the actions that it returns.
+ * Used by the control thread only, except where noted.
+ */
 final class CellMemberDriver {
     private final CellMember mMember;
     private final CellOutput mOutput;
@@ -29,12 +32,12 @@
         return mMember.mayLeave(ControlThread.clock());
     }
 
-    /** True when timeouts of some ten ms are to be watched over. */
+    /** See {@link CellMember#needsShortTicks}. */
     boolean needsShortTicks() {
         return mMember.needsShortTicks();
     }
 
-    /** Time between two ticks while it isn't busy, in ms. */
+    /** Interval between ticks while {@link #needsShortTicks} is false, in ms. */
     long idleTickMs() {
         return mMember.idleTickMs();
     }
@@ -48,7 +51,7 @@
         mMember.strength(strength);
     }
 
-    /** Time has passed; a cell without anything that can't wait is ticked less often. */
+    /** Ticks the member; without short timeouts, only once its idle interval has passed. */
     void tick(long nowMs) {
         if (mMember.needsShortTicks() || nowMs - mLastTickMs >= mMember.idleTickMs()) {
             mLastTickMs = nowMs;
@@ -64,12 +67,12 @@
         actions.forEach(this::execute);
     }
 
-    /** Whether this VM should ask the group for the cell; to be read on any thread. */
+    /** {@link CellMember#wantsCell} as of the last event. May be called on any thread. */
     boolean wantsCell() {
         return mWantsCell;
     }
 
-    /** Whether callers do well to come to this VM; to be read on any thread. */
+    /** {@link CellMember#canServeCallers} as of the last event. May be called on any thread. */
     boolean canServeCallers() {
         return mCanServeCallers;
     }
@@ -81,8 +84,8 @@
             execute(order.order());
         } else if (action instanceof MemberAction.Reply reply) {
             mOutput.reply(reply.reply());
-        } else if (action instanceof MemberAction.WatchTargets follow) {
-            mOutput.watchTargets(follow.watch());
+        } else if (action instanceof MemberAction.WatchTargets watch) {
+            mOutput.watchTargets(watch.watch());
         } else if (action instanceof MemberAction.ReadMembers) {
             mOutput.readMembers();
         } else if (action instanceof MemberAction.Rejoin) {
--- a/entry/src/main/java/org/boragegap/entry/cell/CellMetrics.java
+++ b/entry/src/main/java/org/boragegap/entry/cell/CellMetrics.java
@@ -69,7 +69,7 @@
         mCallersLeft.increment();
     }
 
-    /** Values of the platform that could not be used. */
+    /** Reports how many values of the platform were invalid and have been replaced. */
     void settingsReplaced(int count) {
         Gauge.builder("boragegap.settings.replaced", () -> count).register(mRegistry);
     }
@@ -80,7 +80,10 @@
         mConfigVersion = configVersion;
     }
 
-    /** All figures as text. Those of the runtime are added by the first call: nobody else asks. */
+    /**
+     * Returns all metrics as text. Those of the JVM are registered by the first call, since nothing
+     * else reads them.
+     */
     synchronized String scrape() {
         if (!mJvmMetricsBound) {
             mJvmMetricsBound = true;
--- a/entry/src/main/java/org/boragegap/entry/cell/CellNode.java
+++ b/entry/src/main/java/org/boragegap/entry/cell/CellNode.java
@@ -37,39 +37,44 @@
 import org.boragegap.platform.Topics;
 import org.boragegap.wire.PeerMessage;
 
-/** One entry process on the users' platform: all its parts, started and stopped together. */
+/** An entry process on the users' platform: creates, starts and stops all its parts. */
 public final class CellNode {
     private static final Logger sLog = LogManager.getLogger(CellNode.class);
     private static final int OK = 200;
     private static final int UNAVAILABLE = 503;
     private static final int SMALL_BODY_BYTES = 4_096;
 
-    /** How often peers' connections are looked at, in ms: some times within their timeouts. */
+    /** Interval between checks of the connections to peers, in ms: several in each timeout. */
     private static final long PROBE_INTERVAL_MS = 250;
 
-    /** How often figures of the control state are handed to the metrics, in ms. */
+    /** Interval at which the metrics are updated from the control state, in ms. */
     private static final long METRICS_INTERVAL_MS = 1_000;
 
     /**
-     * How long a read of the configuration may be held back by the store, in ms. A change must be
-     * in force within two seconds, also when the connection has gone silent during a read; that is
-     * noticed half a second after the wait. Each read costs a call to the store.
+     * How long the store may wait for a change before it answers a read of the configuration, in
+     * ms. A change must be in force within two seconds, even when the connection goes silent during
+     * a read, which is noticed half a second after this time. A shorter time means more calls to
+     * the store.
      */
     private static final long CONFIG_WAIT_MS = 1_000;
 
     private static final long CONFIG_PAUSE_MS = 20;
 
-    /** Time between two reads of the list of targets, in ms: a leaving one must be left in 2 s. */
+    /**
+     * Pause between two reads of the list of targets, in ms: starts on a target must end within 2 s
+     * after it is listed as draining.
+     */
     private static final long TARGETS_PAUSE_MS = 400;
 
     /**
-     * How long a stopping process serves on, in ms, while it reports not ready. The platform asks
-     * once a second and sends new callers elsewhere after two misses; who came before that was
-     * refused, one caller in ten while VMs were restarted in turn.
+     * How long a stopping process still accepts callers, in ms, while it reports that it is not
+     * ready. The platform checks readiness once a second and sends new callers elsewhere after two
+     * failed checks. Without this delay, callers that came in between were refused: one in ten
+     * during a rolling restart.
      */
     private static final long SERVE_ON_MS = 2_200;
 
-    /** How often a stopping process looks whether all callers are answered, in ms. */
+    /** Interval at which a stopping process checks whether all callers are answered, in ms. */
     private static final long DRAIN_CHECK_INTERVAL_MS = 20;
 
     private final ClockReading mBegan;
@@ -92,7 +97,7 @@
     private final CountDownLatch mDrained = new CountDownLatch(1);
     private volatile Cells mCells = Cells.none();
 
-    /** What operators want emptied, once it is known; for the control thread. */
+    /** Failure domains that operators want emptied, once known. Used by the control thread only. */
     private Optional<Set<String>> mEvacuatedDomains = Optional.empty();
 
     private volatile boolean mDraining;
@@ -143,22 +148,23 @@
     }
 
     /**
-     * Makes a process.
+     * Creates an entry process that is not started.
      *
      * @param settings checked settings
-     * @param incarnation number of this run, larger for later runs at the same address
-     * @param began a time when this process ran already; what an earlier one did is over since then
+     * @param incarnation number of this process; larger for later processes at the same address
+     * @param began clock reading taken after this process began; all that an earlier process did
+     *     was over by then
      */
     public static CellNode create(Settings settings, long incarnation, ClockReading began) {
         return new CellNode(settings, incarnation, began);
     }
 
-    /** What the clocks show now, as this package reads them. */
+    /** Reads the monotonic clock and the wall clock that this package uses. */
     public static ClockReading clock() {
         return ControlThread.clock();
     }
 
-    /** Answers that come in after the stop are dropped: nobody is left to take them. */
+    /** Creates a timer that drops tasks, such as late answers, once it has been shut down. */
     private static ScheduledExecutorService timer() {
         ScheduledThreadPoolExecutor timer =
                 new ScheduledThreadPoolExecutor(1, CellNode::timerThread);
@@ -173,8 +179,8 @@
     }
 
     /**
-     * Starts all parts, or none: were one left running when an address is taken, this VM would go
-     * on in the group, and could be dealt a cell, without callers.
+     * Starts all parts, or none. If the others kept running when an address is already in use, this
+     * VM would stay in the group and could be assigned a cell, although it accepts no callers.
      */
     public void start() throws IOException {
         try {
@@ -217,7 +223,7 @@
         mEndpoints.add(endpoint);
     }
 
-    /** The deployment's layout was read: this VM takes its part in each cell. */
+    /** Creates this VM's member of each cell of the layout, and joins the group. */
     private void layoutKnown(CellLayout layout) {
         ClockReading began = mBegan;
         int cpuMillis = mSettings.cpuMillis();
@@ -242,19 +248,19 @@
                 new CellSettings(
                         mSettings.number(Setting.TARGET_LEASE_MS),
                         mSettings.decimal(Setting.FAR_FACTOR));
-        long grantedMs = mSettings.number(Setting.GROUP_LEASE_MS);
-        long leaseMs = Math.max(grantedMs, layout.minLeaseMs());
+        long configuredMs = mSettings.number(Setting.GROUP_LEASE_MS);
+        long leaseMs = Math.max(configuredMs, layout.minLeaseMs());
         CellMember member = CellMember.create(mSelf, cell, settings, leaseMs, began);
         member.deployment(layout.cells(), cpuMillis);
         return new CellMemberDriver(member, new Output(cell));
     }
 
-    private void joined(long generation, Set<Integer> held, ClockReading sent) {
+    private void joined(long generation, Set<Integer> assigned, ClockReading sent) {
         mThread.post(
                 () -> {
                     Cells cells = mCells;
                     for (int cell = 0; cell < cells.count(); cell++) {
-                        boolean holds = held.contains(cell);
+                        boolean holds = assigned.contains(cell);
                         cells.on(cell, new MemberEvent.Joined(generation, holds, sent));
                     }
                 });
@@ -305,18 +311,19 @@
         try {
             mJobs.configure(ConfigurationReader.decode(value));
         } catch (PlatformException e) {
-            sLog.error("the configuration can't be read, the last one stays: {}", e.getMessage());
+            sLog.error("invalid configuration, the last one stays in force: {}", e.getMessage());
         }
     }
 
     private void targetsChanged(Map<String, byte[]> records) {
         List<TargetInfo> targets = new ArrayList<>(mListedTargets.decode(records));
-        // Not of this deployment: nobody may answer there, and a new controller waits for answers.
+        // A service that the configuration doesn't name is of another deployment: its targets may
+        // never answer, and a new controller waits for the answers of all.
         targets.removeIf(target -> !mJobs.knowsService(target.service()));
         mThread.post(() -> mCells.targetsListed(targets));
     }
 
-    /** Begins a graceful shutdown; asking twice changes nothing. */
+    /** Begins a graceful shutdown; further calls have no effect. */
     public void drain() {
         if (mDraining) {
             return;
@@ -328,9 +335,9 @@
         mTimer.schedule(this::refuseNewCallers, SERVE_ON_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** Takes no more callers, and looks until those that wait are answered. */
+    /** Refuses new callers, and leaves the group once all is answered and it may leave. */
     private void refuseNewCallers() {
-        sLog.info("draining: takes no more callers");
+        sLog.info("draining: accepts no more callers");
         mThread.post(() -> mCells.onAll(new MemberEvent.Draining()));
         mTimer.scheduleWithFixedDelay(
                 this::leaveWhenDrained,
@@ -349,13 +356,13 @@
                 });
     }
 
-    /** Waits until all callers are answered, or the time for it is over. */
+    /** Waits until this VM has drained, for {@link Setting#DRAIN_MS} at most. */
     public void awaitDrained() throws InterruptedException {
         boolean all = mDrained.await(mSettings.number(Setting.DRAIN_MS), TimeUnit.MILLISECONDS);
-        sLog.info(all ? "drained: all callers are answered" : "drained: time is over");
+        sLog.info(all ? "drained: all callers are answered" : "draining: timeout reached");
     }
 
-    /** Stops all parts at once. */
+    /** Stops all parts at once, without draining. */
     public void stop() {
         mEndpoints.forEach(HttpEndpoint::stop);
         mThread.stop();
@@ -429,12 +436,12 @@
         }
 
         @Override
-        public void watchTargets(boolean follow) {
-            boolean any = mCells.watchTargets(mCell, follow);
-            if (follow) {
-                // Reads the whole list again, for a cell that has not had it.
+        public void watchTargets(boolean watch) {
+            boolean anyWatching = mCells.watchTargets(mCell, watch);
+            if (watch) {
+                // Starts over, so that this cell receives the whole list, too.
                 mTargetsWatcher.start();
-            } else if (!any) {
+            } else if (!anyWatching) {
                 mTargetsWatcher.stop();
             }
         }
--- a/entry/src/main/java/org/boragegap/entry/cell/CellOutput.java
+++ b/entry/src/main/java/org/boragegap/entry/cell/CellOutput.java
@@ -4,7 +4,7 @@
 import org.boragegap.core.cell.CellMessage;
 import org.boragegap.core.cell.EntryAction;
 
-/** What the control state may cause outside its thread; nothing here blocks. */
+/** Executes what the control state wants done outside its thread. No method blocks. */
 interface CellOutput {
     /** Sends a message to another entry VM. */
     void send(String address, CellMessage message);
@@ -21,12 +21,12 @@
     /** Answers a waiting caller. */
     void reply(EntryAction.Reply reply);
 
-    /** Begins or ends following the platform's list of targets. */
-    void watchTargets(boolean follow);
+    /** Starts or stops watching the platform's list of targets. */
+    void watchTargets(boolean watch);
 
-    /** Reads at once who is in the group. */
+    /** Reads the list of the group's members at once. */
     void readMembers();
 
-    /** Joins the group again at once, so that the store can go on dealing. */
+    /** Joins the group again at once, so that the store can go on assigning the cells. */
     void rejoin();
 }
--- a/entry/src/main/java/org/boragegap/entry/cell/CellPeers.java
+++ b/entry/src/main/java/org/boragegap/entry/cell/CellPeers.java
@@ -12,7 +12,7 @@
 import org.boragegap.wire.PeerMessage;
 import org.boragegap.wire.PeerTransport;
 
-/** What this VM and the other entry VMs say to each other about cells. */
+/** Exchanges messages about cells with the other entry VMs. */
 final class CellPeers {
     private static final Logger sLog = LogManager.getLogger(CellPeers.class);
 
@@ -21,15 +21,15 @@
     private final Consumer<List<PeerMessage.Cell>> mReceived;
     private final Outbox mOutbox = new Outbox(this::send);
 
-    /** By peer address, the connection on which that VM last sent something. */
+    /** By peer address, the connection on which the last message from that VM came. */
     private final Map<String, Long> mLinkByAddress = new ConcurrentHashMap<>();
 
     /**
-     * Makes the peers' side of a process that is not started.
+     * Creates an instance that is not started.
      *
      * @param host address to listen on
      * @param self peer address of this VM
-     * @param received takes what came in one frame, on any thread
+     * @param received called with the messages of each frame, on any thread
      */
     CellPeers(String host, int port, String self, Consumer<List<PeerMessage.Cell>> received) {
         mSelf = self;
@@ -45,26 +45,26 @@
         mTransport.stop();
     }
 
-    /** Looks for connections that have gone silent; to be called some times a second. */
+    /** Checks for connections that have gone silent; to be called several times a second. */
     void probe(long nowMs) {
         mTransport.probe(nowMs);
     }
 
-    /** Sends what was said since the last call; for the control thread. */
+    /** Sends the messages added since the last call. Used by the control thread only. */
     void flush() {
         mOutbox.flush();
     }
 
-    /** The voice of one cell. For the control thread. */
+    /** Creates a channel for messages about one cell. Used by the control thread only. */
     Channel channel(int cell) {
         return new Channel(cell);
     }
 
-    /** Says things about one cell; they go out with the next {@link #flush}. */
+    /** Collects messages about one cell; they are sent by the next {@link #flush}. */
     final class Channel {
         private final int mCell;
 
-        /** The last frame: one message to all peers is one frame, which is encoded once. */
+        /** Used again when the same message goes to several peers, so that it is encoded once. */
         private PeerMessage.Cell mLastFrame = new PeerMessage.Cell("", 0, null);
 
         private Channel(int cell) {
@@ -80,12 +80,12 @@
     }
 
     /**
-     * Sends a frame. An answer to a heartbeat goes back over the connection on which that came: the
-     * controller sees by it that the connection works and needs no ping, and this VM none for
-     * another one.
+     * Sends a frame. A reply to a heartbeat goes over the connection on which the heartbeat came:
+     * it shows the controller that this connection works, so that it needs no ping, and this VM has
+     * no second connection that would need one.
      */
-    private void send(String address, boolean back, PeerMessage frame) {
-        Long link = back ? mLinkByAddress.get(address) : null;
+    private void send(String address, boolean asReply, PeerMessage frame) {
+        Long link = asReply ? mLinkByAddress.get(address) : null;
         if (link == null || !mTransport.answer(link, frame)) {
             mTransport.send(address, frame);
         }
@@ -110,8 +110,8 @@
 
         @Override
         public void onLost(String address, PeerMessage message, boolean sent) {
-            // Whatever matters is sent again: offers by the desk, the rest by heartbeats.
-            sLog.debug("a message to {} is lost", address);
+            // What matters is sent again: offers by PendingJobs, the rest through heartbeats.
+            sLog.debug("message to {} lost", address);
         }
     }
 }
--- a/entry/src/main/java/org/boragegap/entry/cell/Cells.java
+++ b/entry/src/main/java/org/boragegap/entry/cell/Cells.java
@@ -14,20 +14,20 @@
 import org.boragegap.core.cell.TargetInfo;
 
 /**
- * This VM's part in each cell of the deployment. For the control thread, but for what is said to be
- * read on any thread.
+ * This VM's members of all cells of the deployment. Used by the control thread only, except where
+ * noted.
  */
 final class Cells {
-    /** A process that is younger than this, in ms, is slow: it compiles its code as it runs. */
+    /** How long a new process is slow, in ms, while much of its code isn't compiled yet. */
     private static final long WARM_UP_MS = 2_000;
 
     /**
-     * Time between two ticks while some cell is busy, in ms: less than half of the shortest timeout
-     * that they watch over.
+     * Interval between ticks while some cell needs short ticks, in ms: less than half of the
+     * shortest timeout that a tick checks.
      */
     private static final long SHORT_TICK_MS = 10;
 
-    /** Time between two ticks while no cell is known, in ms: there is nothing to watch over. */
+    /** Interval between ticks while no layout is known, in ms: there is no timeout to check. */
     private static final long NO_LAYOUT_TICK_MS = 100;
 
     private final Optional<CellLayout> mLayout;
@@ -42,43 +42,46 @@
         mBeganMs = beganMs;
     }
 
-    /** Of a process that doesn't know the layout yet. */
+    /** Creates an instance without cells, for a process that doesn't know the layout yet. */
     static Cells none() {
         return new Cells(Optional.empty(), 0, 0);
     }
 
     /**
-     * Makes the cells of a layout.
+     * Creates this VM's members of the cells of a layout.
      *
      * @param cpuMillis processor of this VM, in thousandths of a core
      * @param beganMs when this process began, on the monotonic clock, in ms
-     * @param control makes this VM's part in the cell of a number
+     * @param createDriver creates the driver for the cell of a given number
      */
     static Cells create(
-            CellLayout layout, int cpuMillis, long beganMs, IntFunction<CellMemberDriver> control) {
+            CellLayout layout,
+            int cpuMillis,
+            long beganMs,
+            IntFunction<CellMemberDriver> createDriver) {
         Cells cells = new Cells(Optional.of(layout), cpuMillis, beganMs);
         for (int cell = 0; cell < layout.cells(); cell++) {
-            cells.mDrivers.add(control.apply(cell));
+            cells.mDrivers.add(createDriver.apply(cell));
         }
         return cells;
     }
 
-    /** True when the layout is known; to be read on any thread. */
+    /** True when the layout is known. May be called on any thread. */
     boolean layoutKnown() {
         return mLayout.isPresent();
     }
 
-    /** How many there are; 0 while the layout isn't known. */
+    /** Number of cells; 0 while the layout isn't known. */
     int count() {
         return mDrivers.size();
     }
 
-    /** Cell of a job; to be called on any thread once the layout is known. */
+    /** Cell of a job. May be called on any thread, once the layout is known. */
     int cellOfJob(String id) {
         return mLayout.orElseThrow().cellOfJob(id);
     }
 
-    /** Passes an event on; one for a cell that the layout doesn't have is dropped. */
+    /** Passes an event to a cell; an event for a cell that the layout doesn't have is dropped. */
     void on(int cell, MemberEvent event) {
         if (cell >= 0 && cell < mDrivers.size()) {
             mDrivers.get(cell).on(event);
@@ -93,48 +96,49 @@
         on(cell, new MemberEvent.ForPendingJobs(event));
     }
 
-    /** Passes an event on to all cells. */
+    /** Passes an event to all cells. */
     void onAll(MemberEvent event) {
-        mDrivers.forEach(control -> control.on(event));
+        mDrivers.forEach(driver -> driver.on(event));
     }
 
     /**
-     * Time has passed. A VM that controls some cells, or asks for them, has less for others; so has
-     * one that has just started: its code isn't compiled yet, and a cell that it controlled in a
-     * rolling restart served nobody for a second.
+     * Ticks all cells, and updates this VM's strength for each. The strength is lower while this VM
+     * controls other cells or asks for them, and when it has just started: its code isn't compiled
+     * yet, and in a rolling restart a cell that such a VM controlled served nobody for a second.
      */
     void tick() {
         long nowMs = ControlThread.clock().monotonicMs();
-        int youth = nowMs - mBeganMs < WARM_UP_MS ? 1 : 0;
-        for (CellMemberDriver control : mDrivers) {
-            // Counted anew for each: one that has just asked for a cell is not the strongest VM for
-            // the next one. Counted once a tick, one weak VM of 18 took three of ten cells.
-            control.strength(mCpuMillis / (1 + otherWantedCells(control) + youth));
-            control.tick(nowMs);
+        int warmingUp = nowMs - mBeganMs < WARM_UP_MS ? 1 : 0;
+        for (CellMemberDriver driver : mDrivers) {
+            // Counted again for each cell, since this VM may just have asked for another one and is
+            // weaker for this one then. Counted once a tick, one weak VM of 18 took three of ten
+            // cells.
+            driver.strength(mCpuMillis / (1 + otherWantedCells(driver) + warmingUp));
+            driver.tick(nowMs);
         }
     }
 
-    private int otherWantedCells(CellMemberDriver control) {
+    private int otherWantedCells(CellMemberDriver driver) {
         int wanted = 0;
         for (CellMemberDriver other : mDrivers) {
-            wanted += other != control && other.wantsCell() ? 1 : 0;
+            wanted += other != driver && other.wantsCell() ? 1 : 0;
         }
         return wanted;
     }
 
-    /** Time to the next tick, in ms: soon if some cell has something that can't wait. */
+    /** Interval to the next tick, in ms; short if some cell needs short ticks. */
     long tickIntervalMs() {
-        long tickMs = NO_LAYOUT_TICK_MS;
-        for (CellMemberDriver control : mDrivers) {
-            tickMs =
+        long intervalMs = NO_LAYOUT_TICK_MS;
+        for (CellMemberDriver driver : mDrivers) {
+            intervalMs =
                     Math.min(
-                            tickMs,
-                            control.needsShortTicks() ? SHORT_TICK_MS : control.idleTickMs());
+                            intervalMs,
+                            driver.needsShortTicks() ? SHORT_TICK_MS : driver.idleTickMs());
         }
-        return tickMs;
+        return intervalMs;
     }
 
-    /** Tells each cell that follows the list of targets which of them are its own. */
+    /** Passes to each cell that watches the list of targets those that belong to the cell. */
     void targetsListed(List<TargetInfo> targets) {
         for (int cell : mWatchingTargets) {
             List<TargetInfo> own = new ArrayList<>();
@@ -154,9 +158,9 @@
         }
     }
 
-    /** A cell begins or ends following the list; true when any cell does. */
-    boolean watchTargets(int cell, boolean follow) {
-        if (follow) {
+    /** Starts or stops watching the list for a cell; returns true while any cell watches it. */
+    boolean watchTargets(int cell, boolean watch) {
+        if (watch) {
             mWatchingTargets.add(cell);
         } else {
             mWatchingTargets.remove(cell);
@@ -164,7 +168,7 @@
         return !mWatchingTargets.isEmpty();
     }
 
-    /** Cells that this VM asks the group for; to be read on any thread. */
+    /** Cells that this VM asks the group for. May be called on any thread. */
     Set<Integer> wantedCells() {
         Set<Integer> wanted = new HashSet<>();
         for (int cell = 0; cell < mDrivers.size(); cell++) {
@@ -175,7 +179,7 @@
         return wanted;
     }
 
-    /** Whether callers do well to come to this VM; to be read on any thread. */
+    /** True when this VM can serve callers of some cell. May be called on any thread. */
     boolean canServeCallers() {
         return mDrivers.stream().anyMatch(CellMemberDriver::canServeCallers);
     }
@@ -188,11 +192,11 @@
         return mDrivers.stream().allMatch(CellMemberDriver::mayLeave);
     }
 
-    /** What this VM controls, over all cells. */
+    /** Sums up what this VM controls in all cells. */
     CellState state() {
         CellState sum = CellState.NONE;
-        for (CellMemberDriver control : mDrivers) {
-            sum = sum.plus(control.state());
+        for (CellMemberDriver driver : mDrivers) {
+            sum = sum.plus(driver.state());
         }
         return sum;
     }
--- a/entry/src/main/java/org/boragegap/entry/cell/ControlThread.java
+++ b/entry/src/main/java/org/boragegap/entry/cell/ControlThread.java
@@ -9,11 +9,11 @@
 import org.boragegap.core.ClockReading;
 import org.boragegap.http.HttpCaller;
 
-/** The one thread that holds the control state; others hand it what they learn. */
+/** The thread that owns the control state; other threads post events to it. */
 final class ControlThread {
     private static final Logger sLog = LogManager.getLogger(ControlThread.class);
 
-    /** Events that are handled before what they led to is sent: some ms of work. */
+    /** Most events handled before the messages that they cause are sent: some ms of work. */
     private static final int MAX_EVENTS_PER_BATCH = 32;
 
     private final BlockingQueue<Runnable> mQueue = new LinkedBlockingQueue<>();
@@ -24,21 +24,21 @@
     private volatile boolean mStopped;
 
     /**
-     * Makes a thread that is not started.
+     * Creates a thread that is not started.
      *
-     * @param tick to be run as time passes
-     * @param tickMs time between two ticks as things are now, in ms
-     * @param turnEnded to be run after each tick, and after the events that were handed over
+     * @param tick run periodically
+     * @param tickIntervalMs current interval between ticks, in ms
+     * @param afterBatch run after each tick, and after each batch of events
      */
-    ControlThread(Runnable tick, LongSupplier tickMs, Runnable turnEnded) {
+    ControlThread(Runnable tick, LongSupplier tickIntervalMs, Runnable afterBatch) {
         mTick = tick;
-        mTickIntervalMs = tickMs;
-        mAfterBatch = turnEnded;
+        mTickIntervalMs = tickIntervalMs;
+        mAfterBatch = afterBatch;
     }
 
     /**
-     * Runs an event and those that wait already. What they have to say to one VM goes out as one
-     * frame then; under load several wait at a time.
+     * Runs an event and those that are queued already, so that their messages to one VM are sent as
+     * one frame. Under load, several events are queued at a time.
      */
     private void runBatch(Runnable first) {
         first.run();
@@ -60,8 +60,8 @@
         mThread.interrupt();
     }
 
-    void post(Runnable task) {
-        mQueue.add(task);
+    void post(Runnable event) {
+        mQueue.add(event);
     }
 
     static ClockReading clock() {
@@ -69,19 +69,19 @@
     }
 
     /**
-     * Guards against a VM that is so slow that one tick takes longer than the time to the next:
-     * counted from when it began, ticks followed one another and nothing that had come in was
-     * handled, so heartbeats and answers went unheard. Counted from its end, there is always time
-     * for what waits.
+     * Runs events, and a tick when the interval since the end of the last tick has passed. On a VM
+     * so slow that a tick takes longer than the interval, an interval counted from the beginning of
+     * a tick made ticks follow one another without a break: no queued event was handled, and
+     * heartbeats and answers were missed. Counted from the end, there is always time for events.
      */
     private void run() {
         long tickedMs = HttpCaller.nowMs();
         while (!mStopped) {
             try {
                 long waitMs = tickedMs + mTickIntervalMs.getAsLong() - HttpCaller.nowMs();
-                Runnable task = waitMs > 0 ? mQueue.poll(waitMs, TimeUnit.MILLISECONDS) : null;
-                if (task != null) {
-                    runBatch(task);
+                Runnable event = waitMs > 0 ? mQueue.poll(waitMs, TimeUnit.MILLISECONDS) : null;
+                if (event != null) {
+                    runBatch(event);
                 } else {
                     mTick.run();
                     tickedMs = HttpCaller.nowMs();
@@ -90,7 +90,7 @@
             } catch (InterruptedException e) {
                 return;
             } catch (RuntimeException e) {
-                // One event that can't be handled must not take the others' jobs with it.
+                // A failure to handle one event must not end the thread and with it all other jobs.
                 sLog.error("event can't be handled", e);
             }
         }
--- a/entry/src/main/java/org/boragegap/entry/cell/GroupMembership.java
+++ b/entry/src/main/java/org/boragegap/entry/cell/GroupMembership.java
@@ -16,36 +16,37 @@
 import org.boragegap.platform.StoreClient;
 import org.boragegap.platform.StoreResult;
 
-/** Keeps this VM in the group of entry VMs, and reads who else is in it. */
+/** Keeps this VM a member of the group of entry VMs, and reads the list of members. */
 final class GroupMembership {
     private static final Logger sLog = LogManager.getLogger(GroupMembership.class);
     private static final String GROUP = "boragegap";
 
-    /** Each cell has a topic, whose partition 0 is the cell. */
+    /** Each cell has a topic with this prefix; who holds its partition 0 holds the cell. */
     private static final String CELL_TOPIC_PREFIX = "cell-";
 
     /**
-     * Further topics, so that each member holds some partition and can be found by it: at twelve
-     * partitions each, enough for sixty entry VMs.
+     * Further topics, so that each member holds some partition: only those that do are listed. With
+     * twelve partitions each, they are enough for sixty entry VMs.
      */
     private static final List<String> ROSTER_TOPICS =
             List.of("roster-1", "roster-2", "roster-3", "roster-4", "roster-5");
 
-    /** Joins within one lease: three may be lost. */
+    /** Number of joins sent during one lease; three of them may be lost. */
     private static final int JOINS_PER_LEASE = 4;
 
     /**
-     * How often the list of members is read, in ms. VMs that come make themselves known, and a VM
-     * that misses its controller reads more often; this is for those that went for good.
+     * Interval between reads of the list of members, in ms. New VMs announce themselves, and a VM
+     * that misses its controller reads the list more often; this read finds VMs that are gone for
+     * good.
      */
     private static final long MEMBERS_POLL_MS = 3_000;
 
     private static final long ANSWER_TIMEOUT_MS = 600;
 
-    /** Least time between two reads of the members, in ms; a new controller asks as often. */
+    /** Shortest interval between reads of the members, in ms; a new controller reads as often. */
     private static final long MIN_READ_INTERVAL_MS = 100;
 
-    /** Between the parts of a member's name: address, incarnation, processor. */
+    /** Separates the parts of a member's name: address, incarnation, processor. */
     private static final String NAME_SEPARATOR = "/";
 
     private final StoreClient mStore;
@@ -66,22 +67,22 @@
     private boolean mReadScheduled;
     private long mMembersReadMs;
 
-    /** Takes the answers to joins. */
+    /** Receives the answers to joins. */
     interface JoinListener {
         /**
          * The store answered a join.
          *
          * @param generation of the group
-         * @param held cells that are dealt to this VM
+         * @param assigned cells that are assigned to this VM
          * @param sent when the join was sent
          */
-        void joined(long generation, Set<Integer> held, ClockReading sent);
+        void joined(long generation, Set<Integer> assigned, ClockReading sent);
     }
 
-    /** Takes who is in the group. */
+    /** Receives the list of members. */
     interface MembersListener {
         /**
-         * The store answered.
+         * The store answered with the list.
          *
          * @param peers peer addresses of the others
          * @param askedMs when it was asked, on the monotonic clock, in ms
@@ -96,28 +97,28 @@
             long incarnation,
             int cpuMillis,
             long leaseMs,
-            Supplier<Set<Integer>> wanted,
-            JoinListener joined,
-            MembersListener peers) {
+            Supplier<Set<Integer>> wantedCells,
+            JoinListener joinListener,
+            MembersListener membersListener) {
         mStore = store;
         mTimer = timer;
         mAddress = address;
-        // Another life of this VM is another member: what the earlier one held is dealt anew.
+        // A restarted process is another member: what the earlier one held is assigned anew.
         mMemberName = address + NAME_SEPARATOR + incarnation + NAME_SEPARATOR + cpuMillis;
         mCpuMillis = cpuMillis;
         mConfiguredLeaseMs = leaseMs;
         mLeaseMs = leaseMs;
-        mWantedCells = wanted;
-        mJoinListener = joined;
-        mMembersListener = peers;
+        mWantedCells = wantedCells;
+        mJoinListener = joinListener;
+        mMembersListener = membersListener;
     }
 
-    /** Asks for a longer lease from now on; to be called on the timer's thread. */
+    /** Asks for a lease of at least this long from now on; to be called on the timer's thread. */
     void minLeaseMs(long leaseMs) {
         mLeaseMs = Math.max(mConfiguredLeaseMs, leaseMs);
     }
 
-    /** Joins from now on; to be called on the timer's thread, and again without effect. */
+    /** Starts to join periodically, if it hasn't yet; to be called on the timer's thread. */
     void start() {
         if (mStarted) {
             return;
@@ -178,8 +179,9 @@
     }
 
     /**
-     * Reads the members, now or as soon as it may. Each cell that misses its controller asks for
-     * it; with eight cells on 47 VMs that was a thousand calls to the store a second.
+     * Reads the members, at once or when {@link #MIN_READ_INTERVAL_MS} has passed since the last
+     * read. Each cell that misses its controller asks for it; without this limit, eight cells on 47
+     * VMs caused a thousand calls to the store a second.
      */
     void readMembers() {
         long waitMs = mMembersReadMs + MIN_READ_INTERVAL_MS - HttpCaller.nowMs();
@@ -212,9 +214,9 @@
         Set<String> peers = new HashSet<>();
         Set<String> members = new HashSet<>();
         for (GroupMember member : good.value()) {
-            int end = member.member().indexOf(NAME_SEPARATOR);
-            if (end > 0) {
-                peers.add(member.member().substring(0, end));
+            int addressEnd = member.member().indexOf(NAME_SEPARATOR);
+            if (addressEnd > 0) {
+                peers.add(member.member().substring(0, addressEnd));
                 members.add(member.member());
             }
         }
@@ -229,17 +231,17 @@
         others.remove(mMemberName);
         List<Integer> cpuMillis = new ArrayList<>(List.of(mCpuMillis));
         for (String member : others) {
-            String last = member.substring(member.lastIndexOf(NAME_SEPARATOR) + 1);
+            String cpu = member.substring(member.lastIndexOf(NAME_SEPARATOR) + 1);
             try {
-                cpuMillis.add(Integer.parseInt(last));
+                cpuMillis.add(Integer.parseInt(cpu));
             } catch (NumberFormatException e) {
-                sLog.warn("group: the member {} doesn't tell its processor", member);
+                sLog.warn("group: the name of member {} doesn't end with its processor", member);
             }
         }
         return cpuMillis;
     }
 
-    /** Leaves the group, so that another VM gets the cell at once. */
+    /** Leaves the group, so that its cells are assigned to other VMs at once. */
     void leave() {
         if (mLeft) {
             return;
--- a/entry/src/main/java/org/boragegap/entry/cell/JobApi.java
+++ b/entry/src/main/java/org/boragegap/entry/cell/JobApi.java
@@ -16,7 +16,7 @@
 import org.boragegap.platform.JobProtocol;
 import org.boragegap.platform.PlatformException;
 
-/** HTTP for callers on the users' platform. */
+/** HTTP API for callers on the users' platform. */
 final class JobApi {
     private static final Logger sLog = LogManager.getLogger(JobApi.class);
     private static final Pattern ID = Pattern.compile("[0-9a-f]{16}");
@@ -26,15 +26,15 @@
     private static final int METHOD_NOT_ALLOWED = 405;
     private static final int GONE = 410;
 
-    /** Takes what the desk of a cell has to know. */
+    /** Gives access to this VM's members of the cells. */
     interface Callbacks {
         /** Cell of a job; empty while the layout of the deployment isn't known. */
         OptionalInt cellOfJob(String id);
 
-        /** Whether callers do well to come to this VM. */
+        /** True when this VM can serve callers of some cell. */
         boolean canServeCallers();
 
-        /** An event for the desk of a cell. */
+        /** Passes an event to the pending jobs of a cell. */
         void on(int cell, EntryEvent event);
     }
 
@@ -52,7 +52,7 @@
         mMetrics = metrics;
     }
 
-    /** Puts a configuration in force, unless a later one is. */
+    /** Puts a configuration in force, unless its version or a later one already is. */
     synchronized void configure(Configuration configuration) {
         Configuration current = mConfiguration;
         if (current != null && configuration.version() <= current.version()) {
@@ -70,9 +70,9 @@
     }
 
     /**
-     * The process will stop: each connection is closed after its next answer. Callers keep open
-     * connections, and whatever they sent on one to a process that takes no more was refused,
-     * though other entry VMs had room for it.
+     * From now on closes each connection after its next answer, as the process will stop. Callers
+     * keep connections open; requests that they sent over these to a process that accepts no more
+     * were refused, though other entry VMs had room for them.
      */
     void closeConnectionsAfterReply() {
         mClosingConnections = true;
@@ -82,13 +82,13 @@
         return mConfiguration != null;
     }
 
-    /** Whether the configuration names this service; any is taken while none is in force. */
+    /** True when the configuration names this service, and while no configuration is in force. */
     boolean knowsService(String service) {
         Configuration configuration = mConfiguration;
         return configuration == null || configuration.services().containsKey(service);
     }
 
-    /** Version in force; 0 for none. */
+    /** Version of the configuration in force; 0 for none. */
     long configVersion() {
         Configuration configuration = mConfiguration;
         return configuration == null ? 0 : configuration.version();
@@ -116,13 +116,16 @@
         }
     }
 
-    /** The name without a port. */
+    /** Returns the host name without a port. */
     private static String hostName(String header) {
         int colon = header.lastIndexOf(':');
         return colon < 0 ? header : header.substring(0, colon);
     }
 
-    /** Jobs that need not be stored are asked for by nobody later; no others are taken yet. */
+    /**
+     * Answers a question about the queue or about one job. No job is found: only jobs that need not
+     * be stored are accepted yet, and nobody asks for those later.
+     */
     private static void replyStatus(HttpIn in, String rest) {
         if (rest.isEmpty()) {
             in.reply(OK, JobProtocol.waiting(0));
@@ -168,7 +171,7 @@
                     .map(Long::parseLong)
                     .orElse(route.timeoutMs());
         } catch (NumberFormatException e) {
-            sLog.debug("a time budget that is no number is passed over: {}", e.getMessage());
+            sLog.debug("ignoring a time budget that is not a number: {}", e.getMessage());
             return route.timeoutMs();
         }
     }
@@ -187,7 +190,7 @@
         send(in, reply);
     }
 
-    /** Answers a caller whose job has been decided. */
+    /** Sends the verdict on a job to its caller, if the caller still waits. */
     void reply(EntryAction.Reply reply) {
         Caller caller = mCallers.remove(reply.ticket());
         if (caller == null) {
@@ -205,11 +208,11 @@
     }
 
     /**
-     * Closes the connection with the answer when callers are served better elsewhere: this VM
-     * stops, or hears neither the store nor a controller. The platform sends new connections to
-     * other failure domains by then, but an open one stays. Without this, every caller inside a
-     * failure domain that was cut off was refused for as long as the cut lasted, on the connection
-     * that it had.
+     * Sends an answer, and closes the connection after it when other VMs can serve the caller
+     * better: this VM stops, or hears neither the store nor a controller. The platform sends new
+     * connections to other failure domains by then, but open ones stay. Without this, every caller
+     * in a failure domain that was disconnected from the others was refused over its open
+     * connection until the domain was connected again.
      */
     private void send(HttpIn in, JobProtocol.Reply reply) {
         if (mClosingConnections || !mCallbacks.canServeCallers()) {
--- a/entry/src/main/java/org/boragegap/entry/cell/LayoutResolver.java
+++ b/entry/src/main/java/org/boragegap/entry/cell/LayoutResolver.java
@@ -18,23 +18,23 @@
 
 /**
  * Finds out how the deployment is divided into cells. The first entry VM that sees a list of
- * targets which doesn't grow any more decides it and writes it to the store; the store takes one
- * such record, so all others find and keep the same. All its state belongs to the timer's thread.
+ * targets which no longer grows computes the layout and writes it to the store. The store accepts
+ * only one such record, so that all VMs use the same layout. All state is confined to the timer's
+ * thread.
  */
 final class LayoutResolver {
     private static final Logger sLog = LogManager.getLogger(LayoutResolver.class);
 
-    /**
-     * How long an answer is waited for, in ms; a store that is slow takes a quarter of a second.
-     */
+    /** How long to wait for an answer, in ms; a store that is slow takes a quarter of a second. */
     private static final long ANSWER_TIMEOUT_MS = 500;
 
     /** Pause after a call that failed, in ms. */
     private static final long RETRY_MS = 200;
 
     /**
-     * Pause between two looks at a list that may still grow, in ms. Targets of a new deployment
-     * write themselves into it every 1.5 s; all that start together are there after one pause.
+     * Pause before the targets are counted again while their list may still grow, in ms. Targets of
+     * a new deployment write their entries every 1.5 s; all that start together are listed after
+     * one pause.
      */
     private static final long RECOUNT_PAUSE_MS = 1_600;
 
@@ -47,23 +47,24 @@
     private int mTargetCount;
 
     /**
-     * Makes a keeper that is not started.
+     * Creates a resolver that is not started.
      *
-     * @param undecided is run when the store holds no layout yet, so that VMs get to know others
+     * @param layoutMissing run when the store holds no layout yet, so that this VM gets to know the
+     *     others
      * @param cpuMillis processor of each entry VM that is known, in thousandths of a core
-     * @param found takes the layout
+     * @param listener receives the layout
      */
     LayoutResolver(
             StoreClient store,
             ScheduledExecutorService timer,
-            Runnable undecided,
+            Runnable layoutMissing,
             Supplier<List<Integer>> cpuMillis,
-            Consumer<CellLayout> found) {
+            Consumer<CellLayout> listener) {
         mStore = store;
         mTimer = timer;
-        mLayoutMissing = undecided;
+        mLayoutMissing = layoutMissing;
         mCpuMillis = cpuMillis;
-        mListener = found;
+        mListener = listener;
     }
 
     void start() {
@@ -103,7 +104,7 @@
         String text = new String(value, StandardCharsets.UTF_8);
         Optional<CellLayout> layout = CellLayout.parse(text);
         if (layout.isEmpty()) {
-            sLog.error("the layout in the store is no number of cells: '{}'", text);
+            sLog.error("invalid layout in the store, expected a number of cells: '{}'", text);
             scheduleRead(RECOUNT_PAUSE_MS);
             return;
         }
@@ -131,9 +132,9 @@
             countTargets(page.records().get(page.records().size() - 1).key());
             return;
         }
-        boolean settled = mTargetCount > 0 && mTargetCount == mPreviousTargetCount;
+        boolean stable = mTargetCount > 0 && mTargetCount == mPreviousTargetCount;
         mPreviousTargetCount = mTargetCount;
-        if (settled) {
+        if (stable) {
             proposeLayout();
         } else {
             scheduleRead(RECOUNT_PAUSE_MS);
--- a/entry/src/main/java/org/boragegap/entry/cell/OrderSender.java
+++ b/entry/src/main/java/org/boragegap/entry/cell/OrderSender.java
@@ -5,19 +5,19 @@
 import org.boragegap.core.cell.CellEvent;
 import org.boragegap.platform.TargetOrders;
 
-/** Sends a cell's orders to targets and turns what becomes of them into events. */
+/** Sends a cell's orders to targets and reports their results as events. */
 final class OrderSender {
     private final TargetOrders mOrders;
     private final Consumer<CellEvent> mEvents;
 
     /**
-     * Makes a sender.
+     * Creates a sender.
      *
-     * @param cell takes what became of each order, on any thread
+     * @param events receives the result of each order, on any thread
      */
-    OrderSender(TargetOrders orders, Consumer<CellEvent> cell) {
+    OrderSender(TargetOrders orders, Consumer<CellEvent> events) {
         mOrders = orders;
-        mEvents = cell;
+        mEvents = events;
     }
 
     void extend(CellAction.ExtendLease order) {
@@ -48,8 +48,9 @@
         String id = order.target().id();
         mOrders.stop(
                 order,
-                taken ->
+                acknowledged ->
                         mEvents.accept(
-                                new CellEvent.StopAnswered(id, order.task(), order.run(), taken)));
+                                new CellEvent.StopAnswered(
+                                        id, order.task(), order.run(), acknowledged)));
     }
 }
--- a/entry/src/main/java/org/boragegap/entry/cell/Outbox.java
+++ b/entry/src/main/java/org/boragegap/entry/cell/Outbox.java
@@ -7,19 +7,20 @@
 import org.boragegap.wire.PeerMessage;
 
 /**
- * Collects what one turn of the control thread has to say to other VMs, so that each of them gets
- * one frame for it. A VM that misses the controllers of eight cells tells so in one frame, not
- * eight; each frame costs both sides a system call and a wake-up. For the control thread.
+ * Collects the messages to other VMs that one batch of events on the control thread causes, so that
+ * each destination is sent one frame. A VM that misses the controllers of eight cells says so in
+ * one frame, not eight; each frame costs both sides a system call and a wake-up. Used by the
+ * control thread only.
  */
 final class Outbox {
-    /** Sends a frame. */
+    /** Sends frames to other VMs. */
     interface Sender {
         /**
-         * Sends.
+         * Sends a frame.
          *
-         * @param asReply over the connection on which that VM was heard, if it is open
+         * @param asReply true to use the connection on which that VM last sent something, if open
          */
-        void send(String address, boolean back, PeerMessage frame);
+        void send(String address, boolean asReply, PeerMessage frame);
     }
 
     private record Destination(String address, boolean asReply) {}
@@ -31,28 +32,29 @@
         mSender = sender;
     }
 
-    void add(String address, boolean back, PeerMessage.Cell message) {
-        mPending.computeIfAbsent(new Destination(address, back), route -> new ArrayList<>(1))
+    void add(String address, boolean asReply, PeerMessage.Cell message) {
+        mPending.computeIfAbsent(
+                        new Destination(address, asReply), destination -> new ArrayList<>(1))
                 .add(message);
     }
 
-    /** Sends all; the same words to several VMs are one frame, which is encoded once. */
+    /** Sends all; the same messages to several VMs are one frame, which is encoded once. */
     void flush() {
         if (mPending.isEmpty()) {
             return;
         }
         PeerMessage.Batch last = new PeerMessage.Batch(List.of());
         for (Map.Entry<Destination, List<PeerMessage.Cell>> entry : mPending.entrySet()) {
-            Destination route = entry.getKey();
+            Destination destination = entry.getKey();
             List<PeerMessage.Cell> messages = entry.getValue();
             if (messages.size() == 1) {
-                mSender.send(route.address(), route.asReply(), messages.get(0));
+                mSender.send(destination.address(), destination.asReply(), messages.get(0));
                 continue;
             }
             if (!sameMessages(last.messages(), messages)) {
                 last = new PeerMessage.Batch(messages);
             }
-            mSender.send(route.address(), route.asReply(), last);
+            mSender.send(destination.address(), destination.asReply(), last);
         }
         mPending.clear();
     }
--- a/entry/src/main/java/org/boragegap/entry/cell/TopicWatcher.java
+++ b/entry/src/main/java/org/boragegap/entry/cell/TopicWatcher.java
@@ -13,10 +13,11 @@
 import org.boragegap.platform.StoreResult;
 
 /**
- * Follows a keyed topic of the platform's store: the newest record of each key, then each change.
+ * Watches a keyed topic of the platform's store: reads the newest record of each key, then each
+ * change.
  *
  * <p>When the store has deleted records that were not read yet, it starts over from the newest
- * records. All its state belongs to the timer's thread.
+ * records. All state is confined to the timer's thread.
  */
 final class TopicWatcher {
     private static final Logger sLog = LogManager.getLogger(TopicWatcher.class);
@@ -25,8 +26,9 @@
     private static final long RETRY_MS = 200;
 
     /**
-     * How long an answer is waited for beyond the time for which the store may hold it back, in ms.
-     * A connection can go silent for good; a store that is slow takes a quarter of a second.
+     * How long to wait for an answer, in ms, beyond the time for which the store may wait for a
+     * record. A connection can go silent for good; a store that is slow takes a quarter of a
+     * second.
      */
     private static final long ANSWER_TIMEOUT_MS = 500;
 
@@ -44,11 +46,11 @@
     private int mEpoch;
 
     /**
-     * Makes a follower.
+     * Creates a watcher that is not started.
      *
      * @param waitMs how long the store may wait for a record before it answers, in ms
-     * @param pauseMs between two reads, in ms
-     * @param changed takes all records after each change
+     * @param pauseMs pause between two reads, in ms
+     * @param listener receives all records after each change
      */
     TopicWatcher(
             StoreClient store,
@@ -56,21 +58,21 @@
             String topic,
             long waitMs,
             long pauseMs,
-            Consumer<Map<String, byte[]>> changed) {
+            Consumer<Map<String, byte[]>> listener) {
         mStore = store;
         mTimer = timer;
         mTopic = topic;
         mWaitMs = waitMs;
         mPauseMs = pauseMs;
-        mListener = changed;
+        mListener = listener;
     }
 
     void start() {
         mTimer.execute(
                 () -> {
-                    int round = ++mEpoch;
+                    int epoch = ++mEpoch;
                     mNextOffset = -1;
-                    readSnapshot(round, "");
+                    readSnapshot(epoch, "");
                 });
     }
 
@@ -78,8 +80,8 @@
         mTimer.execute(() -> mEpoch++);
     }
 
-    private void readSnapshot(int round, String after) {
-        if (round != mEpoch) {
+    private void readSnapshot(int epoch, String after) {
+        if (epoch != mEpoch) {
             return;
         }
         if (after.isEmpty()) {
@@ -89,42 +91,42 @@
                 mTopic,
                 after,
                 ANSWER_TIMEOUT_MS,
-                result -> mTimer.execute(() -> snapshotRead(round, after, result)));
+                result -> mTimer.execute(() -> snapshotRead(epoch, after, result)));
     }
 
-    private void snapshotRead(int round, String after, StoreResult<KeyedPage> result) {
-        if (round != mEpoch) {
+    private void snapshotRead(int epoch, String after, StoreResult<KeyedPage> result) {
+        if (epoch != mEpoch) {
             return;
         }
         if (!(result instanceof StoreResult.Good<KeyedPage> good)) {
             readFailed(result);
-            mTimer.schedule(() -> readSnapshot(round, ""), RETRY_MS, TimeUnit.MILLISECONDS);
+            mTimer.schedule(() -> readSnapshot(epoch, ""), RETRY_MS, TimeUnit.MILLISECONDS);
             return;
         }
         readSucceeded();
         KeyedPage page = good.value();
         if (after.isEmpty()) {
-            // Pages are not taken at one moment: what changes meanwhile is read from here on.
+            // The pages are not read at one moment: later changes are read from this offset on.
             mSnapshotEnd = page.next();
         }
         apply(page, mSnapshot);
         if (page.more() && !page.records().isEmpty()) {
-            readSnapshot(round, page.records().get(page.records().size() - 1).key());
+            readSnapshot(epoch, page.records().get(page.records().size() - 1).key());
             return;
         }
         mRecords.clear();
         mRecords.putAll(mSnapshot);
         mNextOffset = mSnapshotEnd;
         mListener.accept(Map.copyOf(mRecords));
-        scheduleRead(round);
+        scheduleRead(epoch);
     }
 
-    private void scheduleRead(int round) {
-        mTimer.schedule(() -> readChanges(round), mPauseMs, TimeUnit.MILLISECONDS);
+    private void scheduleRead(int epoch) {
+        mTimer.schedule(() -> readChanges(epoch), mPauseMs, TimeUnit.MILLISECONDS);
     }
 
-    private void readChanges(int round) {
-        if (round != mEpoch) {
+    private void readChanges(int epoch) {
+        if (epoch != mEpoch) {
             return;
         }
         mStore.read(
@@ -132,22 +134,24 @@
                 mNextOffset,
                 mWaitMs,
                 mWaitMs + ANSWER_TIMEOUT_MS,
-                result -> mTimer.execute(() -> changesRead(round, result)));
+                result -> mTimer.execute(() -> changesRead(epoch, result)));
     }
 
-    private void changesRead(int round, StoreResult<KeyedPage> result) {
-        if (round != mEpoch) {
+    private void changesRead(int epoch, StoreResult<KeyedPage> result) {
+        if (epoch != mEpoch) {
             return;
         }
         if (result instanceof StoreResult.HistoryGone) {
             sLog.info(
-                    "records of {} from {} on are deleted: reads the newest", mTopic, mNextOffset);
-            readSnapshot(round, "");
+                    "records of topic {} from {} on are deleted, reading the newest ones",
+                    mTopic,
+                    mNextOffset);
+            readSnapshot(epoch, "");
             return;
         }
         if (!(result instanceof StoreResult.Good<KeyedPage> good)) {
             readFailed(result);
-            mTimer.schedule(() -> readChanges(round), RETRY_MS, TimeUnit.MILLISECONDS);
+            mTimer.schedule(() -> readChanges(epoch), RETRY_MS, TimeUnit.MILLISECONDS);
             return;
         }
         readSucceeded();
@@ -157,7 +161,7 @@
             apply(page, mRecords);
             mListener.accept(Map.copyOf(mRecords));
         }
-        scheduleRead(round);
+        scheduleRead(epoch);
     }
 
     private static void apply(KeyedPage page, Map<String, byte[]> records) {
--- a/entry/src/test/java/org/boragegap/entry/cell/OutboxTest.java
+++ b/entry/src/test/java/org/boragegap/entry/cell/OutboxTest.java
@@ -11,16 +11,16 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The start of 47 VMs with eight cells: until controllers are known each VM tells the others for
- * each cell that it misses one. What one turn of the control thread has to say to a VM is one
- * frame, and the same words to several VMs are encoded once.
+ * Guards against a frame for each message when 47 VMs with eight cells start: until controllers are
+ * known, each VM tells the others for each cell that it misses one. Messages to one VM that are
+ * flushed together are one frame, and the same messages to several VMs are encoded once.
  */
 final class OutboxTest {
     private record Sent(String address, boolean asReply, PeerMessage frame) {}
 
     private final List<Sent> mSent = new ArrayList<>();
     private final Outbox mOutbox =
-            new Outbox((address, back, frame) -> mSent.add(new Sent(address, back, frame)));
+            new Outbox((address, asReply, frame) -> mSent.add(new Sent(address, asReply, frame)));
 
     private static PeerMessage.Cell controllerMissing(int cell) {
         return new PeerMessage.Cell("vm1", cell, new CellMessage.ControllerMissing(7, 1_500));
