--- a/entry/src/main/java/org/boragegap/entry/cell/Cells.java
+++ b/entry/src/main/java/org/boragegap/entry/cell/Cells.java
@@ -104,7 +104,7 @@
     /**
      * Ticks all cells, and updates this VM's strength for each. The strength is lower while this VM
      * controls other cells or asks for them, and when it has just started: its code isn't compiled
-     * yet, and in a rolling restart a cell that such a VM controlled served nobody for a second.
+     * yet, and in a rolling restart a cell that such a VM controlled served no caller for a second.
      */
     void tick() {
         long nowMs = ControlThread.clock().monotonicMs();
@@ -151,7 +151,7 @@
         }
     }
 
-    /** Tells all cells which failure domains operators want emptied. */
+    /** Passes to all cells which failure domains operators want emptied. */
     void domainsEvacuated(Set<String> domains) {
         for (int cell = 0; cell < mDrivers.size(); cell++) {
             on(cell, new CellEvent.DomainsEvacuated(domains));
--- a/entry/src/main/java/org/boragegap/entry/cell/ControlThread.java
+++ b/entry/src/main/java/org/boragegap/entry/cell/ControlThread.java
@@ -37,8 +37,8 @@
     }
 
     /**
-     * Runs an event and those that are queued already, so that their messages to one VM are sent as
-     * one frame. Under load, several events are queued at a time.
+     * Runs an event and those that are queued already, up to the limit of a batch, so that their
+     * messages to one VM are sent as one frame. Under load, several events are queued at a time.
      */
     private void runBatch(Runnable first) {
         first.run();
--- a/entry/src/main/java/org/boragegap/entry/cell/GroupMembership.java
+++ b/entry/src/main/java/org/boragegap/entry/cell/GroupMembership.java
@@ -21,7 +21,7 @@
     private static final Logger sLog = LogManager.getLogger(GroupMembership.class);
     private static final String GROUP = "boragegap";
 
-    /** Each cell has a topic with this prefix; who holds its partition 0 holds the cell. */
+    /** Each cell has a topic with this prefix; the holder of its partition 0 holds the cell. */
     private static final String CELL_TOPIC_PREFIX = "cell-";
 
     /**
--- a/entry/src/main/java/org/boragegap/entry/cell/LayoutResolver.java
+++ b/entry/src/main/java/org/boragegap/entry/cell/LayoutResolver.java
@@ -49,8 +49,8 @@
     /**
      * Creates a resolver that is not started.
      *
-     * @param layoutMissing run when the store holds no layout yet, so that this VM gets to know the
-     *     others
+     * @param layoutMissing run when the store holds no layout yet, so that this VM learns which
+     *     others there are
      * @param cpuMillis processor of each entry VM that is known, in thousandths of a core
      * @param listener receives the layout
      */
