--- a/entry/src/main/java/org/boragegap/entry/cell/CellNode.java
+++ b/entry/src/main/java/org/boragegap/entry/cell/CellNode.java
@@ -61,8 +61,8 @@
     private static final long CONFIG_PAUSE_MS = 20;
 
     /**
-     * Pause between two reads of the list of targets, in ms: starts on a target must end within 2 s
-     * after it is listed as draining.
+     * Pause between two reads of the list of targets, in ms: a target that is leaving must no
+     * longer be used after 2 s.
      */
     private static final long TARGETS_PAUSE_MS = 400;
 
