--- a/entry/src/main/java/org/boragegap/entry/cell/CellNode.java
+++ b/entry/src/main/java/org/boragegap/entry/cell/CellNode.java
@@ -37,40 +37,45 @@
 import org.boragegap.platform.Topics;
 import org.boragegap.wire.PeerMessage;
 
-/** One entry process on the users' platform: all its parts, started and stopped together. */
+/** An entry process on the users' platform: creates, starts and stops all its parts. */
 public final class CellNode {
     private static final Logger sLog = LogManager.getLogger(CellNode.class);
     private static final int OK = 200;
     private static final int UNAVAILABLE = 503;
     private static final int SMALL_BODY_BYTES = 4_096;
 
-    /** How often peers' connections are looked at, in ms: some times within their timeouts. */
-    private static final long PROBE_EVERY_MS = 250;
+    /** Interval between checks of the connections to peers, in ms: several in each timeout. */
+    private static final long PROBE_INTERVAL_MS = 250;
 
-    /** How often figures of the control state are handed to the metrics, in ms. */
-    private static final long PUBLISH_EVERY_MS = 1_000;
+    /** Interval at which the metrics are updated from the control state, in ms. */
+    private static final long METRICS_INTERVAL_MS = 1_000;
 
     /**
-     * How long a read of the configuration may be held back by the store, in ms. A change must be
-     * in force within two seconds, also when the connection has gone silent during a read; that is
-     * noticed half a second after the wait. Each read costs a call to the store.
+     * How long the store may wait for a change before it answers a read of the configuration, in
+     * ms. A change must be in force within two seconds, even when the connection goes silent during
+     * a read, which is noticed half a second after this time. A shorter time means more calls to
+     * the store.
      */
     private static final long CONFIG_WAIT_MS = 1_000;
 
     private static final long CONFIG_PAUSE_MS = 20;
 
-    /** Time between two reads of the list of targets, in ms: a leaving one must be left in 2 s. */
+    /**
+     * Pause between two reads of the list of targets, in ms: a target that is leaving must no
+     * longer be used after 2 s.
+     */
     private static final long TARGETS_PAUSE_MS = 400;
 
     /**
-     * How long a stopping process serves on, in ms, while it reports not ready. The platform asks
-     * once a second and sends new callers elsewhere after two misses; who came before that was
-     * refused, one caller in ten while VMs were restarted in turn.
+     * How long a stopping process still accepts callers, in ms, while it reports that it is not
+     * ready. The platform checks readiness once a second and sends new callers elsewhere after two
+     * failed checks. Without this delay, callers that came in between were refused: one in ten
+     * during a rolling restart.
      */
     private static final long SERVE_ON_MS = 2_200;
 
-    /** How often a stopping process looks whether all callers are answered, in ms. */
-    private static final long DRAIN_LOOK_MS = 20;
+    /** Interval at which a stopping process checks whether all callers are answered, in ms. */
+    private static final long DRAIN_CHECK_INTERVAL_MS = 20;
 
     private final ClockReading mBegan;
     private final Settings mSettings;
@@ -81,19 +86,19 @@
     private final CellPeers mPeers;
     private final CellMetrics mMetrics = new CellMetrics();
     private final JobApi mJobs;
-    private final LayoutKeeper mLayout;
+    private final LayoutResolver mLayout;
     private final ControlThread mThread;
-    private final GroupKeeper mGroup;
-    private final TopicFollower mConfig;
-    private final TopicFollower mTargets;
-    private final ListedTargets mListed = ListedTargets.create();
+    private final GroupMembership mGroup;
+    private final TopicWatcher mConfigWatcher;
+    private final TopicWatcher mTargetsWatcher;
+    private final ListedTargets mListedTargets = ListedTargets.create();
     private final List<HttpEndpoint> mEndpoints = new ArrayList<>();
     private final ScheduledExecutorService mTimer = timer();
     private final CountDownLatch mDrained = new CountDownLatch(1);
     private volatile Cells mCells = Cells.none();
 
-    /** What operators want emptied, once it is known; for the control thread. */
-    private Optional<Set<String>> mEvacuated = Optional.empty();
+    /** Failure domains that operators want emptied, once known. Used by the control thread only. */
+    private Optional<Set<String>> mEvacuatedDomains = Optional.empty();
 
     private volatile boolean mDraining;
 
@@ -111,52 +116,55 @@
                         mSelf,
                         this::received);
         mMetrics.settingsReplaced(settings.replaced().size());
-        mThread = new ControlThread(() -> mCells.tick(), () -> mCells.tickMs(), mPeers::flush);
-        mJobs = new JobApi(new Desk(), mMetrics);
+        mThread =
+                new ControlThread(
+                        () -> mCells.tick(), () -> mCells.tickIntervalMs(), mPeers::flush);
+        mJobs = new JobApi(new ApiCallbacks(), mMetrics);
         mGroup =
-                new GroupKeeper(
+                new GroupMembership(
                         mStore,
                         mTimer,
                         mSelf,
                         incarnation,
                         settings.cpuMillis(),
                         settings.number(Setting.GROUP_LEASE_MS),
-                        () -> mCells.wanted(),
+                        () -> mCells.wantedCells(),
                         this::joined,
                         this::membersRead);
         mLayout =
-                new LayoutKeeper(
+                new LayoutResolver(
                         mStore, mTimer, mGroup::start, mGroup::cpuMillis, this::layoutKnown);
-        mConfig =
-                new TopicFollower(
+        mConfigWatcher =
+                new TopicWatcher(
                         mStore,
                         mTimer,
                         Topics.OPERATORS,
                         CONFIG_WAIT_MS,
                         CONFIG_PAUSE_MS,
                         this::operatorsChanged);
-        mTargets =
-                new TopicFollower(
+        mTargetsWatcher =
+                new TopicWatcher(
                         mStore, mTimer, Topics.TARGETS, 0, TARGETS_PAUSE_MS, this::targetsChanged);
     }
 
     /**
-     * Makes a process.
+     * Creates an entry process that is not started.
      *
      * @param settings checked settings
-     * @param incarnation number of this run, larger for later runs at the same address
-     * @param began a time when this process ran already; what an earlier one did is over since then
+     * @param incarnation number of this process; larger for later processes at the same address
+     * @param began clock reading taken after this process began; all that an earlier process did
+     *     was over by then
      */
     public static CellNode create(Settings settings, long incarnation, ClockReading began) {
         return new CellNode(settings, incarnation, began);
     }
 
-    /** What the clocks show now, as this package reads them. */
+    /** Reads the monotonic clock and the wall clock that this package uses. */
     public static ClockReading clock() {
         return ControlThread.clock();
     }
 
-    /** Answers that come in after the stop are dropped: nobody is left to take them. */
+    /** Creates a timer that drops tasks, such as late answers, once it has been shut down. */
     private static ScheduledExecutorService timer() {
         ScheduledThreadPoolExecutor timer =
                 new ScheduledThreadPoolExecutor(1, CellNode::timerThread);
@@ -171,8 +179,8 @@
     }
 
     /**
-     * Starts all parts, or none: were one left running when an address is taken, this VM would go
-     * on in the group, and could be dealt a cell, without callers.
+     * Starts all parts, or none. If the others kept running when an address is already in use, this
+     * VM would stay in the group and could be assigned a cell, although it accepts no callers.
      */
     public void start() throws IOException {
         try {
@@ -187,16 +195,19 @@
         mHttp.start();
         mPeers.start();
         mThread.start();
-        mConfig.start();
+        mConfigWatcher.start();
         mLayout.start();
         mTimer.scheduleWithFixedDelay(
-                this::probe, PROBE_EVERY_MS, PROBE_EVERY_MS, TimeUnit.MILLISECONDS);
+                this::probePeers, PROBE_INTERVAL_MS, PROBE_INTERVAL_MS, TimeUnit.MILLISECONDS);
         mTimer.scheduleWithFixedDelay(
-                this::publish, PUBLISH_EVERY_MS, PUBLISH_EVERY_MS, TimeUnit.MILLISECONDS);
+                this::updateMetrics,
+                METRICS_INTERVAL_MS,
+                METRICS_INTERVAL_MS,
+                TimeUnit.MILLISECONDS);
         int bodyBytes = (int) mSettings.number(Setting.BODY_BYTES);
         listen("callers", Setting.CALLER_ADDRESS, bodyBytes, mJobs::handle);
-        listen("ready", Setting.READY_ADDRESS, SMALL_BODY_BYTES, this::ready);
-        listen("metrics", Setting.METRICS_ADDRESS, SMALL_BODY_BYTES, this::metrics);
+        listen("ready", Setting.READY_ADDRESS, SMALL_BODY_BYTES, this::handleReadiness);
+        listen("metrics", Setting.METRICS_ADDRESS, SMALL_BODY_BYTES, this::handleMetrics);
         sLog.info("entry VM {} takes callers", mSelf);
     }
 
@@ -212,7 +223,7 @@
         mEndpoints.add(endpoint);
     }
 
-    /** The deployment's layout was read: this VM takes its part in each cell. */
+    /** Creates this VM's member of each cell of the layout, and joins the group. */
     private void layoutKnown(CellLayout layout) {
         ClockReading began = mBegan;
         int cpuMillis = mSettings.cpuMillis();
@@ -223,32 +234,33 @@
                                     layout,
                                     cpuMillis,
                                     began.monotonicMs(),
-                                    cell -> control(cell, layout, cpuMillis, began));
-                    mEvacuated.ifPresent(mCells::evacuated);
-                    mTimer.execute(() -> mGroup.atLeast(layout.minLeaseMs()));
+                                    cell -> createDriver(cell, layout, cpuMillis, began));
+                    mEvacuatedDomains.ifPresent(mCells::domainsEvacuated);
+                    mTimer.execute(() -> mGroup.minLeaseMs(layout.minLeaseMs()));
                     mTimer.execute(mGroup::start);
                     mTimer.execute(mGroup::join);
                 });
     }
 
-    private CellControl control(int cell, CellLayout layout, int cpuMillis, ClockReading began) {
+    private CellMemberDriver createDriver(
+            int cell, CellLayout layout, int cpuMillis, ClockReading began) {
         CellSettings settings =
                 new CellSettings(
                         mSettings.number(Setting.TARGET_LEASE_MS),
                         mSettings.decimal(Setting.FAR_FACTOR));
-        long grantedMs = mSettings.number(Setting.GROUP_LEASE_MS);
-        long leaseMs = Math.max(grantedMs, layout.minLeaseMs());
+        long configuredMs = mSettings.number(Setting.GROUP_LEASE_MS);
+        long leaseMs = Math.max(configuredMs, layout.minLeaseMs());
         CellMember member = CellMember.create(mSelf, cell, settings, leaseMs, began);
         member.deployment(layout.cells(), cpuMillis);
-        return new CellControl(member, new Output(cell));
+        return new CellMemberDriver(member, new Output(cell));
     }
 
-    private void joined(long generation, Set<Integer> held, ClockReading sent) {
+    private void joined(long generation, Set<Integer> assigned, ClockReading sent) {
         mThread.post(
                 () -> {
                     Cells cells = mCells;
                     for (int cell = 0; cell < cells.count(); cell++) {
-                        boolean holds = held.contains(cell);
+                        boolean holds = assigned.contains(cell);
                         cells.on(cell, new MemberEvent.Joined(generation, holds, sent));
                     }
                 });
@@ -258,23 +270,23 @@
         mThread.post(() -> mCells.onAll(new MemberEvent.PeersListed(peers, askedMs)));
     }
 
-    private void ready(HttpIn in) {
-        boolean ready = !mDraining && mJobs.configured() && mCells.servesCallers();
+    private void handleReadiness(HttpIn in) {
+        boolean ready = !mDraining && mJobs.configured() && mCells.canServeCallers();
         in.reply(ready ? OK : UNAVAILABLE, "{}");
     }
 
-    private void metrics(HttpIn in) {
+    private void handleMetrics(HttpIn in) {
         in.reply(OK, "text/plain; version=0.0.4", Map.of(), mMetrics.scrape());
     }
 
-    private void probe() {
+    private void probePeers() {
         mPeers.probe(HttpCaller.nowMs());
     }
 
-    private void publish() {
+    private void updateMetrics() {
         mThread.post(
                 () ->
-                        mMetrics.publish(
+                        mMetrics.update(
                                 mCells.state(), mCells.waitingCallers(), mJobs.configVersion()));
     }
 
@@ -286,8 +298,8 @@
     private void evacuationsChanged(Set<String> domains) {
         mThread.post(
                 () -> {
-                    mEvacuated = Optional.of(domains);
-                    mCells.evacuated(domains);
+                    mEvacuatedDomains = Optional.of(domains);
+                    mCells.domainsEvacuated(domains);
                 });
     }
 
@@ -299,38 +311,42 @@
         try {
             mJobs.configure(ConfigurationReader.decode(value));
         } catch (PlatformException e) {
-            sLog.error("the configuration can't be read, the last one stays: {}", e.getMessage());
+            sLog.error("invalid configuration, the last one stays in force: {}", e.getMessage());
         }
     }
 
     private void targetsChanged(Map<String, byte[]> records) {
-        List<TargetInfo> targets = new ArrayList<>(mListed.decode(records));
-        // Not of this deployment: nobody may answer there, and a new controller waits for answers.
+        List<TargetInfo> targets = new ArrayList<>(mListedTargets.decode(records));
+        // A service that the configuration doesn't name is of another deployment: its targets may
+        // never answer, and a new controller waits for the answers of all.
         targets.removeIf(target -> !mJobs.knowsService(target.service()));
         mThread.post(() -> mCells.targetsListed(targets));
     }
 
-    /** Begins a graceful shutdown; asking twice changes nothing. */
+    /** Begins a graceful shutdown; further calls have no effect. */
     public void drain() {
         if (mDraining) {
             return;
         }
         mDraining = true;
-        mJobs.stopping();
+        mJobs.closeConnectionsAfterReply();
         sLog.info("draining");
         mThread.post(() -> mCells.onAll(new MemberEvent.Resigned()));
-        mTimer.schedule(this::close, SERVE_ON_MS, TimeUnit.MILLISECONDS);
+        mTimer.schedule(this::refuseNewCallers, SERVE_ON_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** Takes no more callers, and looks until those that wait are answered. */
-    private void close() {
-        sLog.info("draining: takes no more callers");
+    /** Refuses new callers, and leaves the group once all is answered and it may leave. */
+    private void refuseNewCallers() {
+        sLog.info("draining: accepts no more callers");
         mThread.post(() -> mCells.onAll(new MemberEvent.Draining()));
         mTimer.scheduleWithFixedDelay(
-                this::lookDrained, DRAIN_LOOK_MS, DRAIN_LOOK_MS, TimeUnit.MILLISECONDS);
+                this::leaveWhenDrained,
+                DRAIN_CHECK_INTERVAL_MS,
+                DRAIN_CHECK_INTERVAL_MS,
+                TimeUnit.MILLISECONDS);
     }
 
-    private void lookDrained() {
+    private void leaveWhenDrained() {
         mThread.post(
                 () -> {
                     if (mCells.waitingCallers() == 0 && mCells.mayLeave()) {
@@ -340,13 +356,13 @@
                 });
     }
 
-    /** Waits until all callers are answered, or the time for it is over. */
+    /** Waits until this VM has drained, for {@link Setting#DRAIN_MS} at most. */
     public void awaitDrained() throws InterruptedException {
         boolean all = mDrained.await(mSettings.number(Setting.DRAIN_MS), TimeUnit.MILLISECONDS);
-        sLog.info(all ? "drained: all callers are answered" : "drained: time is over");
+        sLog.info(all ? "drained: all callers are answered" : "draining: timeout reached");
     }
 
-    /** Stops all parts at once. */
+    /** Stops all parts at once, without draining. */
     public void stop() {
         mEndpoints.forEach(HttpEndpoint::stop);
         mThread.stop();
@@ -356,23 +372,23 @@
     }
 
     private void received(List<PeerMessage.Cell> messages) {
-        mThread.post(() -> messages.forEach(this::receivedOne));
+        mThread.post(() -> messages.forEach(this::deliver));
     }
 
-    private void receivedOne(PeerMessage.Cell cell) {
+    private void deliver(PeerMessage.Cell cell) {
         mCells.on(cell.cell(), new MemberEvent.Received(cell.from(), cell.message()));
     }
 
-    private final class Desk implements JobApi.Desk {
+    private final class ApiCallbacks implements JobApi.Callbacks {
         @Override
         public OptionalInt cellOfJob(String id) {
             Cells cells = mCells;
-            return cells.known() ? OptionalInt.of(cells.cellOfJob(id)) : OptionalInt.empty();
+            return cells.layoutKnown() ? OptionalInt.of(cells.cellOfJob(id)) : OptionalInt.empty();
         }
 
         @Override
-        public boolean servesCallers() {
-            return mCells.servesCallers();
+        public boolean canServeCallers() {
+            return mCells.canServeCallers();
         }
 
         @Override
@@ -383,35 +399,35 @@
 
     private final class Output implements CellOutput {
         private final int mCell;
-        private final OrderSender mSender;
+        private final OrderSender mOrderSender;
 
-        private final CellPeers.Voice mVoice;
+        private final CellPeers.Channel mChannel;
 
         private Output(int cell) {
             mCell = cell;
-            mVoice = mPeers.voice(cell);
-            mSender =
+            mChannel = mPeers.channel(cell);
+            mOrderSender =
                     new OrderSender(mOrders, event -> mThread.post(() -> mCells.on(mCell, event)));
         }
 
         @Override
         public void send(String address, CellMessage message) {
-            mVoice.say(address, message);
+            mChannel.send(address, message);
         }
 
         @Override
         public void extend(CellAction.ExtendLease order) {
-            mSender.extend(order);
+            mOrderSender.extend(order);
         }
 
         @Override
         public void start(CellAction.StartRun order) {
-            mSender.start(order);
+            mOrderSender.start(order);
         }
 
         @Override
         public void stop(CellAction.StopRun order) {
-            mSender.stop(order);
+            mOrderSender.stop(order);
         }
 
         @Override
@@ -420,13 +436,13 @@
         }
 
         @Override
-        public void followTargets(boolean follow) {
-            boolean any = mCells.follow(mCell, follow);
-            if (follow) {
-                // Reads the whole list again, for a cell that has not had it.
-                mTargets.start();
-            } else if (!any) {
-                mTargets.stop();
+        public void watchTargets(boolean watch) {
+            boolean anyWatching = mCells.watchTargets(mCell, watch);
+            if (watch) {
+                // Starts over, so that this cell receives the whole list, too.
+                mTargetsWatcher.start();
+            } else if (!anyWatching) {
+                mTargetsWatcher.stop();
             }
         }
 
@@ -436,7 +452,7 @@
         }
 
         @Override
-        public void joinAgain() {
+        public void rejoin() {
             mTimer.execute(mGroup::join);
         }
     }
--- a/entry/src/main/java/org/boragegap/entry/cell/JobApi.java
+++ b/entry/src/main/java/org/boragegap/entry/cell/JobApi.java
@@ -16,43 +16,43 @@
 import org.boragegap.platform.JobProtocol;
 import org.boragegap.platform.PlatformException;
 
-/** HTTP for callers on the users' platform. */
+/** HTTP API for callers on the users' platform. */
 final class JobApi {
     private static final Logger sLog = LogManager.getLogger(JobApi.class);
     private static final Pattern ID = Pattern.compile("[0-9a-f]{16}");
     private static final int OK = 200;
     private static final int BAD_REQUEST = 400;
     private static final int NOT_FOUND = 404;
-    private static final int NOT_ALLOWED = 405;
+    private static final int METHOD_NOT_ALLOWED = 405;
     private static final int GONE = 410;
 
-    /** Takes what the desk of a cell has to know. */
-    interface Desk {
+    /** Gives access to this VM's members of the cells. */
+    interface Callbacks {
         /** Cell of a job; empty while the layout of the deployment isn't known. */
         OptionalInt cellOfJob(String id);
 
-        /** Whether callers do well to come to this VM. */
-        boolean servesCallers();
+        /** True when this VM can serve callers of some cell. */
+        boolean canServeCallers();
 
-        /** An event for the desk of a cell. */
+        /** Passes an event to the pending jobs of a cell. */
         void on(int cell, EntryEvent event);
     }
 
     private record Caller(HttpIn in, int cell) {}
 
-    private final Desk mDesk;
+    private final Callbacks mCallbacks;
     private final CellMetrics mMetrics;
     private final Map<Long, Caller> mCallers = new ConcurrentHashMap<>();
     private final AtomicLong mNextTicket = new AtomicLong(1);
     private volatile Configuration mConfiguration;
-    private volatile boolean mStopping;
+    private volatile boolean mClosingConnections;
 
-    JobApi(Desk desk, CellMetrics metrics) {
-        mDesk = desk;
+    JobApi(Callbacks desk, CellMetrics metrics) {
+        mCallbacks = desk;
         mMetrics = metrics;
     }
 
-    /** Puts a configuration in force, unless a later one is. */
+    /** Puts a configuration in force, unless its version or a later one already is. */
     synchronized void configure(Configuration configuration) {
         Configuration current = mConfiguration;
         if (current != null && configuration.version() <= current.version()) {
@@ -70,25 +70,25 @@
     }
 
     /**
-     * The process will stop: each connection is closed after its next answer. Callers keep open
-     * connections, and whatever they sent on one to a process that takes no more was refused,
-     * though other entry VMs had room for it.
+     * From now on closes each connection after its next answer, as the process will stop. Callers
+     * keep connections open; requests that they sent over these to a process that accepts no more
+     * were refused, though other entry VMs had room for them.
      */
-    void stopping() {
-        mStopping = true;
+    void closeConnectionsAfterReply() {
+        mClosingConnections = true;
     }
 
     boolean configured() {
         return mConfiguration != null;
     }
 
-    /** Whether the configuration names this service; any is taken while none is in force. */
+    /** True when the configuration names this service, and while no configuration is in force. */
     boolean knowsService(String service) {
         Configuration configuration = mConfiguration;
         return configuration == null || configuration.services().containsKey(service);
     }
 
-    /** Version in force; 0 for none. */
+    /** Version of the configuration in force; 0 for none. */
     long configVersion() {
         Configuration configuration = mConfiguration;
         return configuration == null ? 0 : configuration.version();
@@ -110,20 +110,23 @@
         String rest = in.path().substring(route.get().prefix().length());
         switch (in.method()) {
             case "POST" -> submit(in, route.get(), configuration.version(), rest);
-            case "GET" -> show(in, rest);
+            case "GET" -> replyStatus(in, rest);
             case "DELETE" -> in.reply(GONE, JobProtocol.error("no such job"));
-            default -> in.reply(NOT_ALLOWED, JobProtocol.error("no such method"));
+            default -> in.reply(METHOD_NOT_ALLOWED, JobProtocol.error("no such method"));
         }
     }
 
-    /** The name without a port. */
+    /** Returns the host name without a port. */
     private static String hostName(String header) {
         int colon = header.lastIndexOf(':');
         return colon < 0 ? header : header.substring(0, colon);
     }
 
-    /** Jobs that need not be stored are asked for by nobody later; no others are taken yet. */
-    private static void show(HttpIn in, String rest) {
+    /**
+     * Answers a question about the queue or about one job. No job is found: only jobs that need not
+     * be stored are accepted yet, and nobody asks for those later.
+     */
+    private static void replyStatus(HttpIn in, String rest) {
         if (rest.isEmpty()) {
             in.reply(OK, JobProtocol.waiting(0));
         } else {
@@ -147,7 +150,7 @@
             refuse(in, id, JobProtocol.unavailable(unserved.reason()));
             return;
         }
-        OptionalInt cell = mDesk.cellOfJob(id);
+        OptionalInt cell = mCallbacks.cellOfJob(id);
         if (cell.isEmpty()) {
             refuse(in, id, JobProtocol.unavailable("the layout of the cells is not known yet"));
             return;
@@ -155,11 +158,11 @@
         long ticket = mNextTicket.getAndIncrement();
         mCallers.put(ticket, new Caller(in, cell.getAsInt()));
         long budgetMs = budgetMs(in, route);
-        mDesk.on(
+        mCallbacks.on(
                 cell.getAsInt(),
                 new EntryEvent.Submitted(
                         ticket, ((JobProtocol.Decoded.Job) decoded).request(), budgetMs));
-        in.whenClosed(() -> left(ticket));
+        in.whenClosed(() -> callerLeft(ticket));
     }
 
     private static long budgetMs(HttpIn in, Configuration.Route route) {
@@ -168,16 +171,16 @@
                     .map(Long::parseLong)
                     .orElse(route.timeoutMs());
         } catch (NumberFormatException e) {
-            sLog.debug("a time budget that is no number is passed over: {}", e.getMessage());
+            sLog.debug("ignoring a time budget that is not a number: {}", e.getMessage());
             return route.timeoutMs();
         }
     }
 
-    private void left(long ticket) {
+    private void callerLeft(long ticket) {
         Caller caller = mCallers.remove(ticket);
         if (caller != null) {
             mMetrics.callerLeft();
-            mDesk.on(caller.cell(), new EntryEvent.CallerLeft(ticket));
+            mCallbacks.on(caller.cell(), new EntryEvent.CallerLeft(ticket));
         }
     }
 
@@ -187,7 +190,7 @@
         send(in, reply);
     }
 
-    /** Answers a caller whose job has been decided. */
+    /** Sends the verdict on a job to its caller, if the caller still waits. */
     void reply(EntryAction.Reply reply) {
         Caller caller = mCallers.remove(reply.ticket());
         if (caller == null) {
@@ -205,14 +208,14 @@
     }
 
     /**
-     * Closes the connection with the answer when callers are served better elsewhere: this VM
-     * stops, or hears neither the store nor a controller. The platform sends new connections to
-     * other failure domains by then, but an open one stays. Without this, every caller inside a
-     * failure domain that was cut off was refused for as long as the cut lasted, on the connection
-     * that it had.
+     * Sends an answer, and closes the connection after it when other VMs can serve the caller
+     * better: this VM stops, or hears neither the store nor a controller. The platform sends new
+     * connections to other failure domains by then, but open ones stay. Without this, every caller
+     * in a failure domain that was disconnected from the others was refused over its open
+     * connection until the domain was connected again.
      */
     private void send(HttpIn in, JobProtocol.Reply reply) {
-        if (mStopping || !mDesk.servesCallers()) {
+        if (mClosingConnections || !mCallbacks.canServeCallers()) {
             in.closeAfterReply();
         }
         Map<String, String> headers =
--- a/entry/src/main/java/org/boragegap/entry/cell/LayoutKeeper.java
+++ b/entry/src/main/java/org/boragegap/entry/cell/LayoutResolver.java
@@ -18,141 +18,142 @@
 
 /**
  * Finds out how the deployment is divided into cells. The first entry VM that sees a list of
- * targets which doesn't grow any more decides it and writes it to the store; the store takes one
- * such record, so all others find and keep the same. All its state belongs to the timer's thread.
+ * targets which no longer grows computes the layout and writes it to the store. The store accepts
+ * only one such record, so that all VMs use the same layout. All state is confined to the timer's
+ * thread.
  */
-final class LayoutKeeper {
-    private static final Logger sLog = LogManager.getLogger(LayoutKeeper.class);
+final class LayoutResolver {
+    private static final Logger sLog = LogManager.getLogger(LayoutResolver.class);
 
-    /**
-     * How long an answer is waited for, in ms; a store that is slow takes a quarter of a second.
-     */
-    private static final long ANSWER_WITHIN_MS = 500;
+    /** How long to wait for an answer, in ms; a store that is slow takes a quarter of a second. */
+    private static final long ANSWER_TIMEOUT_MS = 500;
 
     /** Pause after a call that failed, in ms. */
     private static final long RETRY_MS = 200;
 
     /**
-     * Pause between two looks at a list that may still grow, in ms. Targets of a new deployment
-     * write themselves into it every 1.5 s; all that start together are there after one pause.
+     * Pause before the targets are counted again while their list may still grow, in ms. Targets of
+     * a new deployment write their entries every 1.5 s; all that start together are listed after
+     * one pause.
      */
-    private static final long SETTLE_MS = 1_600;
+    private static final long RECOUNT_PAUSE_MS = 1_600;
 
     private final StoreClient mStore;
     private final ScheduledExecutorService mTimer;
-    private final Runnable mUndecided;
+    private final Runnable mLayoutMissing;
     private final Supplier<List<Integer>> mCpuMillis;
-    private final Consumer<CellLayout> mFound;
-    private int mTargetsBefore;
-    private int mTargets;
+    private final Consumer<CellLayout> mListener;
+    private int mPreviousTargetCount;
+    private int mTargetCount;
 
     /**
-     * Makes a keeper that is not started.
+     * Creates a resolver that is not started.
      *
-     * @param undecided is run when the store holds no layout yet, so that VMs get to know others
+     * @param layoutMissing run when the store holds no layout yet, so that this VM learns which
+     *     others there are
      * @param cpuMillis processor of each entry VM that is known, in thousandths of a core
-     * @param found takes the layout
+     * @param listener receives the layout
      */
-    LayoutKeeper(
+    LayoutResolver(
             StoreClient store,
             ScheduledExecutorService timer,
-            Runnable undecided,
+            Runnable layoutMissing,
             Supplier<List<Integer>> cpuMillis,
-            Consumer<CellLayout> found) {
+            Consumer<CellLayout> listener) {
         mStore = store;
         mTimer = timer;
-        mUndecided = undecided;
+        mLayoutMissing = layoutMissing;
         mCpuMillis = cpuMillis;
-        mFound = found;
+        mListener = listener;
     }
 
     void start() {
-        mTimer.execute(this::look);
+        mTimer.execute(this::readLayout);
     }
 
-    private void look() {
+    private void readLayout() {
         mStore.newest(
                 Topics.LAYOUT,
                 "",
-                ANSWER_WITHIN_MS,
-                result -> mTimer.execute(() -> looked(result)));
+                ANSWER_TIMEOUT_MS,
+                result -> mTimer.execute(() -> layoutRead(result)));
     }
 
-    private void lookIn(long delayMs) {
-        mTimer.schedule(this::look, delayMs, TimeUnit.MILLISECONDS);
+    private void scheduleRead(long delayMs) {
+        mTimer.schedule(this::readLayout, delayMs, TimeUnit.MILLISECONDS);
     }
 
-    private void looked(StoreResult<KeyedPage> result) {
+    private void layoutRead(StoreResult<KeyedPage> result) {
         if (!(result instanceof StoreResult.Good<KeyedPage> good)) {
             sLog.warn("the layout can't be read: {}", result);
-            lookIn(RETRY_MS);
+            scheduleRead(RETRY_MS);
             return;
         }
         for (KeyedRecord record : good.value().records()) {
             if (record.key().equals(Topics.CELLS_KEY)) {
-                found(record.value());
+                layoutFound(record.value());
                 return;
             }
         }
-        mUndecided.run();
-        mTargets = 0;
+        mLayoutMissing.run();
+        mTargetCount = 0;
         countTargets("");
     }
 
-    private void found(byte[] value) {
+    private void layoutFound(byte[] value) {
         String text = new String(value, StandardCharsets.UTF_8);
         Optional<CellLayout> layout = CellLayout.parse(text);
         if (layout.isEmpty()) {
-            sLog.error("the layout in the store is no number of cells: '{}'", text);
-            lookIn(SETTLE_MS);
+            sLog.error("invalid layout in the store, expected a number of cells: '{}'", text);
+            scheduleRead(RECOUNT_PAUSE_MS);
             return;
         }
         sLog.info("layout: {} cells", layout.get().cells());
-        mFound.accept(layout.get());
+        mListener.accept(layout.get());
     }
 
     private void countTargets(String after) {
         mStore.newest(
                 Topics.TARGETS,
                 after,
-                ANSWER_WITHIN_MS,
-                result -> mTimer.execute(() -> counted(result)));
+                ANSWER_TIMEOUT_MS,
+                result -> mTimer.execute(() -> targetsCounted(result)));
     }
 
-    private void counted(StoreResult<KeyedPage> result) {
+    private void targetsCounted(StoreResult<KeyedPage> result) {
         if (!(result instanceof StoreResult.Good<KeyedPage> good)) {
             sLog.warn("the list of targets can't be read: {}", result);
-            lookIn(RETRY_MS);
+            scheduleRead(RETRY_MS);
             return;
         }
         KeyedPage page = good.value();
-        mTargets += page.records().size();
+        mTargetCount += page.records().size();
         if (page.more() && !page.records().isEmpty()) {
             countTargets(page.records().get(page.records().size() - 1).key());
             return;
         }
-        boolean settled = mTargets > 0 && mTargets == mTargetsBefore;
-        mTargetsBefore = mTargets;
-        if (settled) {
-            decide();
+        boolean stable = mTargetCount > 0 && mTargetCount == mPreviousTargetCount;
+        mPreviousTargetCount = mTargetCount;
+        if (stable) {
+            proposeLayout();
         } else {
-            lookIn(SETTLE_MS);
+            scheduleRead(RECOUNT_PAUSE_MS);
         }
     }
 
-    private void decide() {
+    private void proposeLayout() {
         List<Integer> cpuMillis = mCpuMillis.get();
-        CellLayout layout = CellLayout.forDeployment(mTargets, cpuMillis);
+        CellLayout layout = CellLayout.forDeployment(mTargetCount, cpuMillis);
         sLog.info(
                 "layout: proposes {} cells for {} targets, {} VMs known",
                 layout.cells(),
-                mTargets,
+                mTargetCount,
                 cpuMillis.size());
         mStore.appendFirst(
                 Topics.LAYOUT,
                 Topics.CELLS_KEY,
                 layout.text().getBytes(StandardCharsets.UTF_8),
-                ANSWER_WITHIN_MS,
-                result -> mTimer.execute(this::look));
+                ANSWER_TIMEOUT_MS,
+                result -> mTimer.execute(this::readLayout));
     }
 }
--- a/entry/src/main/java/org/boragegap/entry/cell/OrderSender.java
+++ b/entry/src/main/java/org/boragegap/entry/cell/OrderSender.java
@@ -5,23 +5,23 @@
 import org.boragegap.core.cell.CellEvent;
 import org.boragegap.platform.TargetOrders;
 
-/** Sends a cell's orders to targets and turns what becomes of them into events. */
+/** Sends a cell's orders to targets and reports their results as events. */
 final class OrderSender {
     private final TargetOrders mOrders;
-    private final Consumer<CellEvent> mCell;
+    private final Consumer<CellEvent> mEvents;
 
     /**
-     * Makes a sender.
+     * Creates a sender.
      *
-     * @param cell takes what became of each order, on any thread
+     * @param events receives the result of each order, on any thread
      */
-    OrderSender(TargetOrders orders, Consumer<CellEvent> cell) {
+    OrderSender(TargetOrders orders, Consumer<CellEvent> events) {
         mOrders = orders;
-        mCell = cell;
+        mEvents = events;
     }
 
     void extend(CellAction.ExtendLease order) {
-        mOrders.extend(order, result -> mCell.accept(extended(order, result)));
+        mOrders.extend(order, result -> mEvents.accept(extended(order, result)));
     }
 
     private static CellEvent extended(
@@ -39,7 +39,7 @@
         mOrders.start(
                 order,
                 result ->
-                        mCell.accept(
+                        mEvents.accept(
                                 new CellEvent.StartAnswered(
                                         id, order.task(), order.run(), order.fence(), result)));
     }
@@ -48,8 +48,9 @@
         String id = order.target().id();
         mOrders.stop(
                 order,
-                taken ->
-                        mCell.accept(
-                                new CellEvent.StopAnswered(id, order.task(), order.run(), taken)));
+                acknowledged ->
+                        mEvents.accept(
+                                new CellEvent.StopAnswered(
+                                        id, order.task(), order.run(), acknowledged)));
     }
 }
