--- a/core/src/main/java/org/boragegap/core/cell/JobLifecycle.java
+++ b/core/src/main/java/org/boragegap/core/cell/JobLifecycle.java
@@ -26,12 +26,12 @@
 
     /**
      * How long a refusal is remembered, in ms. A connection that is silent for two seconds is
-     * closed, and messages in transit on it are lost, so no offer is delayed for longer.
+     * closed and loses the messages in transit, which limits how late an offer can arrive.
      */
     private static final long REFUSAL_RETENTION_MS = 10_000;
 
-    /** Reason for refusing a job that no target has the capacity for. */
-    private static final String INFEASIBLE_REASON = "no target has the capacity for it";
+    /** Reason for refusing a job that no available target can run. */
+    private static final String INFEASIBLE_REASON = "no target can run it";
 
     private record KeptVerdict(Verdict verdict, long atMs) {}
 
@@ -186,8 +186,8 @@
     }
 
     /**
-     * Refuses waiting jobs that no target can hold, after targets have left, have lost capacity or
-     * are in an evacuated failure domain.
+     * Refuses waiting jobs that no target can run any more, because targets have left, have lost
+     * capacity or are in an evacuated failure domain.
      */
     void refuseInfeasible() {
         refuseWaiting(this::isInfeasible, INFEASIBLE_REASON);
