--- a/app/src/main/java/org/boragegap/app/EmbeddedCell.java
+++ b/app/src/main/java/org/boragegap/app/EmbeddedCell.java
@@ -15,7 +15,7 @@
 import org.boragegap.entry.Settings;
 import org.boragegap.entry.cell.CellNode;
 import org.boragegap.http.HttpCall;
-import org.boragegap.http.HttpCaller;
+import org.boragegap.http.HttpClient;
 import org.boragegap.http.HttpResult;
 import org.boragegap.platform.Topics;
 import org.boragegap.standin.CellTargetStandin;
@@ -52,7 +52,7 @@
     private static final long TRY_EVERY_MS = 100;
 
     private final ScheduledExecutorService mTimer = Executors.newScheduledThreadPool(2);
-    private final HttpCaller mHttp = HttpCaller.create(CONNECTIONS);
+    private final HttpClient mHttp = HttpClient.create(CONNECTIONS);
     private final List<CellTargetStandin> mTargets = new ArrayList<>();
     private final List<CellNode> mNodes = new ArrayList<>();
     private final List<String> mCallers = new ArrayList<>();
--- a/app/src/main/java/org/boragegap/app/LoadRun.java
+++ b/app/src/main/java/org/boragegap/app/LoadRun.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.locks.LockSupport;
 import org.HdrHistogram.Histogram;
 import org.boragegap.http.HttpCall;
-import org.boragegap.http.HttpCaller;
+import org.boragegap.http.HttpClient;
 import org.boragegap.http.HttpResult;
 import org.boragegap.standin.TargetMode;
 import org.boragegap.standin.TargetStandin;
@@ -87,7 +87,7 @@
         DeploymentShape shape = DeploymentShape.load(mSettings);
         EmbeddedDeployment deployment = EmbeddedDeployment.create(shape);
         deployment.start();
-        HttpCaller http = HttpCaller.create(CONNECTIONS);
+        HttpClient http = HttpClient.create(CONNECTIONS);
         http.start();
         LoadPlan warmUp = LoadPlan.create(mOptions.seed() + 1, 50, 5, cores(shape));
         offer(deployment, http, warmUp, false);
@@ -126,7 +126,7 @@
         return thread;
     }
 
-    private void offer(EmbeddedDeployment deployment, HttpCaller http, LoadPlan plan, boolean count)
+    private void offer(EmbeddedDeployment deployment, HttpClient http, LoadPlan plan, boolean count)
             throws InterruptedException {
         List<String> callers = deployment.callerAddresses();
         CountDownLatch left = new CountDownLatch(plan.jobs().size());
@@ -144,7 +144,7 @@
     }
 
     private record Sending(
-            HttpCaller http,
+            HttpClient http,
             List<String> callers,
             LoadPlan.Job job,
             long dueNs,
--- a/app/src/main/java/org/boragegap/app/PathRun.java
+++ b/app/src/main/java/org/boragegap/app/PathRun.java
@@ -8,7 +8,7 @@
 import org.HdrHistogram.Histogram;
 import org.boragegap.core.job.Resources;
 import org.boragegap.http.HttpCall;
-import org.boragegap.http.HttpCaller;
+import org.boragegap.http.HttpClient;
 import org.boragegap.http.HttpResult;
 import org.boragegap.platform.PlatformJson;
 import org.boragegap.platform.TaskOrder;
@@ -56,7 +56,7 @@
     List<Line> run() throws Exception {
         EmbeddedDeployment deployment = EmbeddedDeployment.create(DeploymentShape.path(SLOTS));
         deployment.start();
-        HttpCaller http = HttpCaller.create(CONNECTIONS);
+        HttpClient http = HttpClient.create(CONNECTIONS);
         http.start();
         List<Line> lines = new ArrayList<>();
         for (int taskMs : TASK_MS) {
@@ -70,7 +70,7 @@
     }
 
     private static Line measure(
-            EmbeddedDeployment deployment, HttpCaller http, int taskMs, int inFlight)
+            EmbeddedDeployment deployment, HttpClient http, int taskMs, int inFlight)
             throws InterruptedException {
         String minion = deployment.minionAddress();
         String entry = deployment.callerAddresses().get(0);
@@ -129,7 +129,7 @@
 
     /** Keeps a number of requests in flight for a while. */
     private static Measured loop(
-            HttpCaller http, String address, String path, String body, int inFlight, long ms)
+            HttpClient http, String address, String path, String body, int inFlight, long ms)
             throws InterruptedException {
         Histogram histogram = new Histogram(3);
         AtomicLong failed = new AtomicLong();
--- a/app/src/main/java/org/boragegap/app/SampleRun.java
+++ b/app/src/main/java/org/boragegap/app/SampleRun.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.HdrHistogram.Histogram;
 import org.boragegap.http.HttpCall;
-import org.boragegap.http.HttpCaller;
+import org.boragegap.http.HttpClient;
 import org.boragegap.http.HttpResult;
 import org.boragegap.standin.TargetStandin;
 
@@ -86,11 +86,11 @@
 
     private static Progress progress() {
         boolean terminal = System.console() != null;
-        return Progress.create(JOBS + REQUESTS, terminal, System.out, HttpCaller::nowMs);
+        return Progress.create(JOBS + REQUESTS, terminal, System.out, HttpClient::nowMs);
     }
 
     Summary run() throws IOException, InterruptedException {
-        HttpCaller http = HttpCaller.create(CONNECTIONS);
+        HttpClient http = HttpClient.create(CONNECTIONS);
         http.start();
         CountDownLatch left = new CountDownLatch(JOBS + REQUESTS);
         List<String> callers = mDeployment.callerAddresses();
@@ -150,7 +150,7 @@
     }
 
     private void send(
-            HttpCaller http,
+            HttpClient http,
             String address,
             String path,
             String body,
--- a/entry/src/main/java/org/boragegap/entry/ActionRunner.java
+++ b/entry/src/main/java/org/boragegap/entry/ActionRunner.java
@@ -8,7 +8,7 @@
 import org.boragegap.core.dispatch.CallerRef;
 import org.boragegap.core.dispatch.Event;
 import org.boragegap.core.job.Submission;
-import org.boragegap.http.HttpCaller;
+import org.boragegap.http.HttpClient;
 import org.boragegap.platform.LogClient;
 import org.boragegap.platform.LogEntry;
 import org.boragegap.platform.TargetClient;
@@ -86,7 +86,7 @@
         } else if (action instanceof Action.SendBundleVersion tell) {
             mPeers.send(tell.address(), new PeerMessage.BundleVersion(tell.version()));
         } else if (action instanceof Action.SendBundle give) {
-            mPeers.answer(give.link(), new PeerMessage.BundleIs(give.bundle()));
+            mPeers.reply(give.link(), new PeerMessage.BundleIs(give.bundle()));
         } else if (action instanceof Action.AppendView append) {
             append(new LogEntry.View(append.record()));
         } else if (action instanceof Action.RestateBundle restate) {
@@ -109,7 +109,7 @@
     private void start(Action.Start start) {
         Submission submission = start.submission();
         long wallMs = System.currentTimeMillis();
-        long startByWallMs = wallMs + start.startByMs() - HttpCaller.nowMs() + CLOCK_MARGIN_MS;
+        long startByWallMs = wallMs + start.startByMs() - HttpClient.nowMs() + CLOCK_MARGIN_MS;
         TaskOrder order =
                 new TaskOrder(
                         start.attempt(),
@@ -135,7 +135,7 @@
         if (reply.caller() instanceof CallerRef.HttpCaller caller) {
             mCallers.answered(caller.token(), reply.id(), reply.answer());
         } else if (reply.caller() instanceof CallerRef.PeerCaller peer) {
-            mPeers.answer(
+            mPeers.reply(
                     peer.link(), new PeerMessage.ForwardAnswer(peer.forwardId(), reply.answer()));
         }
     }
--- a/entry/src/main/java/org/boragegap/entry/BundleDesk.java
+++ b/entry/src/main/java/org/boragegap/entry/BundleDesk.java
@@ -8,8 +8,8 @@
 import org.boragegap.core.bundle.BundleRecord;
 import org.boragegap.core.bundle.CheckedBundle;
 import org.boragegap.core.dispatch.Dispatcher;
-import org.boragegap.http.HttpCaller;
-import org.boragegap.http.HttpIn;
+import org.boragegap.http.HttpClient;
+import org.boragegap.http.IncomingRequest;
 import org.boragegap.platform.LogClient;
 import org.boragegap.platform.LogEntry;
 import org.boragegap.platform.PlatformException;
@@ -51,7 +51,7 @@
         mFollower = follower;
     }
 
-    void status(HttpIn in) {
+    void status(IncomingRequest in) {
         mLoop.ask(BundleDesk::status)
                 .thenAccept(status -> in.reply(OK, PlatformJson.write(status)));
     }
@@ -69,7 +69,7 @@
                 dispatcher.bundles().activeSinceWallMs());
     }
 
-    void publish(HttpIn in) {
+    void publish(IncomingRequest in) {
         Bundle bundle;
         try {
             bundle = PlatformJson.read(in.text(), Bundle.class);
@@ -87,22 +87,23 @@
             return;
         }
         LogEntry entry = new LogEntry.Configuration(BundleRecord.Kind.PUBLISHED, -1, bundle);
-        long untilMs = HttpCaller.nowMs() + WAIT_MS;
+        long untilMs = HttpClient.nowMs() + WAIT_MS;
         mLog.append(entry, acknowledged -> awaitVerdict(in, bundle, untilMs));
     }
 
-    private void awaitVerdict(HttpIn in, Bundle bundle, long untilMs) {
+    private void awaitVerdict(IncomingRequest in, Bundle bundle, long untilMs) {
         mFollower.poll();
         mLoop.ask(dispatcher -> dispatcher.bundles().publicationResult(bundle.publication()))
                 .thenAccept(verdict -> onVerdict(in, bundle, untilMs, verdict));
     }
 
-    private void onVerdict(HttpIn in, Bundle bundle, long untilMs, Optional<String> verdict) {
+    private void onVerdict(
+            IncomingRequest in, Bundle bundle, long untilMs, Optional<String> verdict) {
         if (verdict.isPresent() && BundleChain.isAccepted(verdict.get())) {
             in.reply(OK, "{\"accepted\":true,\"version\":" + bundle.version() + "}");
         } else if (verdict.isPresent()) {
             refuse(in, CONFLICT, verdict.get());
-        } else if (HttpCaller.nowMs() > untilMs) {
+        } else if (HttpClient.nowMs() > untilMs) {
             refuse(in, TIMEOUT, "the log did not show it; it may still take effect");
         } else {
             mTimer.schedule(
@@ -110,7 +111,7 @@
         }
     }
 
-    private static void refuse(HttpIn in, int status, String detail) {
+    private static void refuse(IncomingRequest in, int status, String detail) {
         CallerApi.problem(in, Problem.plain(status, "Bundle not accepted", detail));
     }
 }
--- a/entry/src/main/java/org/boragegap/entry/CallerApi.java
+++ b/entry/src/main/java/org/boragegap/entry/CallerApi.java
@@ -16,7 +16,7 @@
 import org.boragegap.core.dispatch.Event;
 import org.boragegap.core.job.Answer;
 import org.boragegap.core.job.SubmissionId;
-import org.boragegap.http.HttpIn;
+import org.boragegap.http.IncomingRequest;
 import org.boragegap.platform.PlatformJson;
 
 /** HTTP for callers: jobs, requests to services, their state and cancellation. */
@@ -32,7 +32,7 @@
     private static final long MS_PER_SECOND = 1_000;
 
     /** A caller that waits. */
-    private record Open(HttpIn in, boolean async, boolean service, String team) {}
+    private record Open(IncomingRequest in, boolean async, boolean service, String team) {}
 
     /** What a complete job is answered with. */
     private record CompleteJob(String id, String outcome, List<String> results) {}
@@ -52,7 +52,7 @@
         mStatus = status;
     }
 
-    void handle(HttpIn in) {
+    void handle(IncomingRequest in) {
         Matcher service = SERVICE.matcher(in.path());
         Matcher job = JOB.matcher(in.path());
         if (in.path().equals("/v1/jobs")) {
@@ -66,7 +66,7 @@
         }
     }
 
-    private void submit(HttpIn in, Optional<String> service) {
+    private void submit(IncomingRequest in, Optional<String> service) {
         if (!in.method().equals("POST")) {
             problem(in, Problem.plain(METHOD_NOT_ALLOWED, "Method not allowed", "use POST"));
             return;
@@ -85,7 +85,7 @@
         mLoop.post(new Event.Submitted(caller, good.submission(), good.fresh(), 0));
     }
 
-    private void onJob(HttpIn in, String text) {
+    private void onJob(IncomingRequest in, String text) {
         SubmissionId.ParseResult parsed = SubmissionId.parse(text, created(in));
         if (!(parsed instanceof SubmissionId.ParseResult.Valid valid)) {
             String reason = ((SubmissionId.ParseResult.Invalid) parsed).reason();
@@ -102,7 +102,7 @@
         }
     }
 
-    private static OptionalLong created(HttpIn in) {
+    private static OptionalLong created(IncomingRequest in) {
         try {
             return in.query("created")
                     .map(Long::parseLong)
@@ -113,7 +113,7 @@
         }
     }
 
-    private void onStatus(HttpIn in, SubmissionId id, JobStatus status) {
+    private void onStatus(IncomingRequest in, SubmissionId id, JobStatus status) {
         if (status.answer().isPresent()) {
             answer(in, false, id, status.answer().get());
         } else if (status.known()) {
@@ -165,7 +165,8 @@
         return mOpen.size();
     }
 
-    private static void answer(HttpIn in, boolean service, SubmissionId id, Answer answer) {
+    private static void answer(
+            IncomingRequest in, boolean service, SubmissionId id, Answer answer) {
         if (answer instanceof Answer.Failed failed) {
             problem(in, Problem.of(id.text(), failed));
             return;
@@ -178,7 +179,7 @@
         in.reply(OK, PlatformJson.write(body));
     }
 
-    static void problem(HttpIn in, Problem problem) {
+    static void problem(IncomingRequest in, Problem problem) {
         Map<String, String> headers = Map.of();
         if (problem.retryAfterMs() != null) {
             long seconds = (problem.retryAfterMs() + MS_PER_SECOND - 1) / MS_PER_SECOND;
--- a/entry/src/main/java/org/boragegap/entry/ControlLoop.java
+++ b/entry/src/main/java/org/boragegap/entry/ControlLoop.java
@@ -15,7 +15,7 @@
 import org.boragegap.core.dispatch.Action;
 import org.boragegap.core.dispatch.Dispatcher;
 import org.boragegap.core.dispatch.Event;
-import org.boragegap.http.HttpCaller;
+import org.boragegap.http.HttpClient;
 
 /** The one thread that holds the control state: events in, actions out. */
 final class ControlLoop {
@@ -51,7 +51,7 @@
 
     /** An idle process ticks slowly, so that waiting costs next to nothing. */
     private void tick() {
-        long nowMs = HttpCaller.nowMs();
+        long nowMs = HttpClient.nowMs();
         if (mBusy || nowMs - mTickedMs >= IDLE_TICK_MS) {
             mTickedMs = nowMs;
             post(new Event.Ticked());
@@ -76,7 +76,7 @@
     }
 
     static ClockReading clock() {
-        return new ClockReading(HttpCaller.nowMs(), System.currentTimeMillis());
+        return new ClockReading(HttpClient.nowMs(), System.currentTimeMillis());
     }
 
     private void handle(Event event) {
--- a/entry/src/main/java/org/boragegap/entry/EntryService.java
+++ b/entry/src/main/java/org/boragegap/entry/EntryService.java
@@ -24,7 +24,7 @@
 import org.boragegap.core.job.SubmissionId;
 import org.boragegap.core.limit.QueueOrder;
 import org.boragegap.core.placement.PlacementPolicy;
-import org.boragegap.http.HttpCaller;
+import org.boragegap.http.HttpClient;
 import org.boragegap.http.HttpEndpoint;
 import org.boragegap.platform.LogClient;
 import org.boragegap.platform.TargetClient;
@@ -43,7 +43,7 @@
 
     private final Settings mSettings;
     private final Member mSelf;
-    private final HttpCaller mHttp;
+    private final HttpClient mHttp;
     private final PeerTransport mPeers;
     private final ControlLoop mLoop;
     private final LogFollower mFollower;
@@ -64,7 +64,7 @@
         mSettings = settings;
         mSelf = new Member(settings.text(Setting.PEER_ADDRESS), incarnation);
         mTraffic = Executors.newFixedThreadPool(TRAFFIC_THREADS, task -> daemon(task, "traffic"));
-        mHttp = HttpCaller.create((int) settings.number(Setting.CONNECTIONS));
+        mHttp = HttpClient.create((int) settings.number(Setting.CONNECTIONS));
         mChecker =
                 BundleChecker.create(
                         settings.text(Setting.SIGNERS), settings.number(Setting.SIGNATURES));
@@ -175,7 +175,7 @@
         mLoop.start();
         mFollower.start();
         every(mSettings.number(Setting.VM_LIST_POLL_MS), this::pollVmList);
-        every(PROBE_EVERY_MS, () -> mPeers.probe(HttpCaller.nowMs()));
+        every(PROBE_EVERY_MS, () -> mPeers.probe(HttpClient.nowMs()));
         every(PROBE_EVERY_MS, this::publishState);
         mOperatorEndpoint.start();
         mCallerEndpoint.start();
--- a/entry/src/main/java/org/boragegap/entry/OperatorApi.java
+++ b/entry/src/main/java/org/boragegap/entry/OperatorApi.java
@@ -11,7 +11,7 @@
 import org.apache.logging.log4j.Level;
 import org.apache.logging.log4j.core.config.Configurator;
 import org.boragegap.core.dispatch.DispatcherState;
-import org.boragegap.http.HttpIn;
+import org.boragegap.http.IncomingRequest;
 
 /** HTTP for operators and the balancer, on a listener of its own. */
 final class OperatorApi {
@@ -40,7 +40,7 @@
         mDrain = drain;
     }
 
-    void handle(HttpIn in) {
+    void handle(IncomingRequest in) {
         String route = in.method() + " " + in.path();
         if (route.equals("GET /healthz")) {
             in.reply(OK, "{\"healthy\":true}");
@@ -54,7 +54,7 @@
         }
     }
 
-    private boolean allowed(HttpIn in) {
+    private boolean allowed(IncomingRequest in) {
         if (mKey.isEmpty()) {
             return true;
         }
@@ -63,7 +63,7 @@
         return MessageDigest.isEqual(expected, given);
     }
 
-    private void operate(HttpIn in, String route) {
+    private void operate(IncomingRequest in, String route) {
         switch (route) {
             case "GET /metrics" -> in.reply(OK, "text/plain", Map.of(), mMetrics.scrape());
             case "GET /dump" -> dump(in);
@@ -78,13 +78,13 @@
         }
     }
 
-    private void ready(HttpIn in) {
+    private void ready(IncomingRequest in) {
         mLoop.ask(dispatcher -> dispatcher.ready(ControlLoop.clock()))
                 .thenAccept(
                         ready -> in.reply(ready ? OK : UNAVAILABLE, "{\"ready\":" + ready + "}"));
     }
 
-    private void dump(HttpIn in) {
+    private void dump(IncomingRequest in) {
         mLoop.ask(dispatcher -> dispatcher.state(ControlLoop.clock()))
                 .thenAccept(state -> in.reply(OK, json(state)));
     }
@@ -97,7 +97,7 @@
         }
     }
 
-    private static void logLevel(HttpIn in) {
+    private static void logLevel(IncomingRequest in) {
         Optional<Level> level = in.query("level").map(name -> Level.toLevel(name, null));
         if (level.isEmpty()) {
             String detail = "level: expected ERROR, WARN, INFO or DEBUG";
--- a/entry/src/main/java/org/boragegap/entry/StatusDesk.java
+++ b/entry/src/main/java/org/boragegap/entry/StatusDesk.java
@@ -80,7 +80,7 @@
         mLoop.ask(dispatcher -> status(dispatcher, ask.id()))
                 .thenAccept(
                         status ->
-                                mPeers.answer(
+                                mPeers.reply(
                                         link,
                                         new PeerMessage.Told(
                                                 ask.questionId(),
--- a/entry/src/main/java/org/boragegap/entry/cell/CellNode.java
+++ b/entry/src/main/java/org/boragegap/entry/cell/CellNode.java
@@ -26,14 +26,14 @@
 import org.boragegap.core.cell.TargetInfo;
 import org.boragegap.entry.Setting;
 import org.boragegap.entry.Settings;
-import org.boragegap.http.HttpCaller;
+import org.boragegap.http.HttpClient;
 import org.boragegap.http.HttpEndpoint;
-import org.boragegap.http.HttpIn;
+import org.boragegap.http.IncomingRequest;
 import org.boragegap.platform.ConfigurationReader;
-import org.boragegap.platform.ListedTargets;
 import org.boragegap.platform.PlatformException;
 import org.boragegap.platform.StoreClient;
-import org.boragegap.platform.TargetOrders;
+import org.boragegap.platform.TargetListDecoder;
+import org.boragegap.platform.TargetOrderClient;
 import org.boragegap.platform.Topics;
 import org.boragegap.wire.PeerMessage;
 
@@ -75,9 +75,9 @@
     private final ClockReading mBegan;
     private final Settings mSettings;
     private final String mSelf;
-    private final HttpCaller mHttp;
+    private final HttpClient mHttp;
     private final StoreClient mStore;
-    private final TargetOrders mOrders;
+    private final TargetOrderClient mOrders;
     private final CellPeers mPeers;
     private final CellMetrics mMetrics = new CellMetrics();
     private final JobApi mJobs;
@@ -86,7 +86,7 @@
     private final GroupMembership mGroup;
     private final TopicWatcher mConfigWatcher;
     private final TopicWatcher mTargetsWatcher;
-    private final ListedTargets mListedTargets = ListedTargets.create();
+    private final TargetListDecoder mListedTargets = TargetListDecoder.create();
     private final List<HttpEndpoint> mEndpoints = new ArrayList<>();
     private final ScheduledExecutorService mTimer = timer();
     private final CountDownLatch mDrained = new CountDownLatch(1);
@@ -101,9 +101,9 @@
         mBegan = began;
         mSettings = settings;
         mSelf = settings.text(Setting.PEER_ADDRESS);
-        mHttp = HttpCaller.create((int) settings.number(Setting.CONNECTIONS));
+        mHttp = HttpClient.create((int) settings.number(Setting.CONNECTIONS));
         mStore = StoreClient.create(mHttp, settings.text(Setting.STORE_ADDRESS));
-        mOrders = TargetOrders.create(mHttp);
+        mOrders = TargetOrderClient.create(mHttp);
         mPeers =
                 new CellPeers(
                         settings.host(Setting.PEER_ADDRESS),
@@ -264,17 +264,17 @@
         mThread.post(() -> mCells.onAll(new MemberEvent.PeersListed(peers, askedMs)));
     }
 
-    private void handleReadiness(HttpIn in) {
+    private void handleReadiness(IncomingRequest in) {
         boolean ready = !mDraining && mJobs.configured() && mCells.canServeCallers();
         in.reply(ready ? OK : UNAVAILABLE, "{}");
     }
 
-    private void handleMetrics(HttpIn in) {
+    private void handleMetrics(IncomingRequest in) {
         in.reply(OK, "text/plain; version=0.0.4", Map.of(), mMetrics.scrape());
     }
 
     private void probePeers() {
-        mPeers.probe(HttpCaller.nowMs());
+        mPeers.probe(HttpClient.nowMs());
     }
 
     private void updateMetrics() {
--- a/entry/src/main/java/org/boragegap/entry/cell/CellPeers.java
+++ b/entry/src/main/java/org/boragegap/entry/cell/CellPeers.java
@@ -86,7 +86,7 @@
      */
     private void send(String address, boolean back, PeerMessage frame) {
         Long link = back ? mLinkByAddress.get(address) : null;
-        if (link == null || !mTransport.answer(link, frame)) {
+        if (link == null || !mTransport.reply(link, frame)) {
             mTransport.send(address, frame);
         }
     }
--- a/entry/src/main/java/org/boragegap/entry/cell/ControlThread.java
+++ b/entry/src/main/java/org/boragegap/entry/cell/ControlThread.java
@@ -7,7 +7,7 @@
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 import org.boragegap.core.ClockReading;
-import org.boragegap.http.HttpCaller;
+import org.boragegap.http.HttpClient;
 
 /** The one thread that holds the control state; others hand it what they learn. */
 final class ControlThread {
@@ -65,7 +65,7 @@
     }
 
     static ClockReading clock() {
-        return new ClockReading(HttpCaller.nowMs(), System.currentTimeMillis());
+        return new ClockReading(HttpClient.nowMs(), System.currentTimeMillis());
     }
 
     /**
@@ -75,16 +75,16 @@
      * for what waits.
      */
     private void run() {
-        long tickedMs = HttpCaller.nowMs();
+        long tickedMs = HttpClient.nowMs();
         while (!mStopped) {
             try {
-                long waitMs = tickedMs + mTickIntervalMs.getAsLong() - HttpCaller.nowMs();
+                long waitMs = tickedMs + mTickIntervalMs.getAsLong() - HttpClient.nowMs();
                 Runnable task = waitMs > 0 ? mQueue.poll(waitMs, TimeUnit.MILLISECONDS) : null;
                 if (task != null) {
                     runBatch(task);
                 } else {
                     mTick.run();
-                    tickedMs = HttpCaller.nowMs();
+                    tickedMs = HttpClient.nowMs();
                 }
                 mAfterBatch.run();
             } catch (InterruptedException e) {
--- a/entry/src/main/java/org/boragegap/entry/cell/GroupMembership.java
+++ b/entry/src/main/java/org/boragegap/entry/cell/GroupMembership.java
@@ -10,9 +10,9 @@
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 import org.boragegap.core.ClockReading;
-import org.boragegap.http.HttpCaller;
+import org.boragegap.http.HttpClient;
+import org.boragegap.platform.GroupAssignment;
 import org.boragegap.platform.GroupMember;
-import org.boragegap.platform.GroupShare;
 import org.boragegap.platform.StoreClient;
 import org.boragegap.platform.StoreResult;
 
@@ -146,11 +146,11 @@
                 result -> mTimer.execute(() -> joined(sent, result)));
     }
 
-    private void joined(ClockReading sent, StoreResult<GroupShare> result) {
+    private void joined(ClockReading sent, StoreResult<GroupAssignment> result) {
         if (mLeft) {
             return;
         }
-        if (!(result instanceof StoreResult.Good<GroupShare> good)) {
+        if (!(result instanceof StoreResult.Success<GroupAssignment> good)) {
             if (!mJoinFailing) {
                 sLog.warn("can't join the group: {}", result);
             }
@@ -161,14 +161,14 @@
             sLog.info("joined the group again");
         }
         mJoinFailing = false;
-        GroupShare share = good.value();
+        GroupAssignment share = good.value();
         mGeneration = Math.max(mGeneration, share.generation());
         mJoinListener.joined(share.generation(), assignedCells(share), sent);
     }
 
-    private static Set<Integer> assignedCells(GroupShare share) {
+    private static Set<Integer> assignedCells(GroupAssignment share) {
         Set<Integer> cells = new HashSet<>();
-        for (GroupShare.Partition partition : share.partitions()) {
+        for (GroupAssignment.Partition partition : share.partitions()) {
             if (partition.topic().startsWith(CELL_TOPIC_PREFIX) && partition.number() == 0) {
                 cells.add(
                         Integer.parseInt(partition.topic().substring(CELL_TOPIC_PREFIX.length())));
@@ -182,9 +182,9 @@
      * it; with eight cells on 47 VMs that was a thousand calls to the store a second.
      */
     void readMembers() {
-        long waitMs = mMembersReadMs + MIN_READ_INTERVAL_MS - HttpCaller.nowMs();
+        long waitMs = mMembersReadMs + MIN_READ_INTERVAL_MS - HttpClient.nowMs();
         if (waitMs <= 0) {
-            mMembersReadMs = HttpCaller.nowMs();
+            mMembersReadMs = HttpClient.nowMs();
             readNow();
         } else if (!mReadScheduled) {
             mReadScheduled = true;
@@ -198,7 +198,7 @@
     }
 
     private void readNow() {
-        long askedMs = HttpCaller.nowMs();
+        long askedMs = HttpClient.nowMs();
         mStore.members(
                 GROUP,
                 ANSWER_TIMEOUT_MS,
@@ -206,7 +206,7 @@
     }
 
     private void membersRead(StoreResult<List<GroupMember>> result, long askedMs) {
-        if (!(result instanceof StoreResult.Good<List<GroupMember>> good)) {
+        if (!(result instanceof StoreResult.Success<List<GroupMember>> good)) {
             return;
         }
         Set<String> peers = new HashSet<>();
--- a/entry/src/main/java/org/boragegap/entry/cell/JobApi.java
+++ b/entry/src/main/java/org/boragegap/entry/cell/JobApi.java
@@ -12,7 +12,7 @@
 import org.boragegap.core.cell.Decision;
 import org.boragegap.core.cell.EntryAction;
 import org.boragegap.core.cell.EntryEvent;
-import org.boragegap.http.HttpIn;
+import org.boragegap.http.IncomingRequest;
 import org.boragegap.platform.JobProtocol;
 import org.boragegap.platform.PlatformException;
 
@@ -38,7 +38,7 @@
         void on(int cell, EntryEvent event);
     }
 
-    private record Caller(HttpIn in, int cell) {}
+    private record Caller(IncomingRequest in, int cell) {}
 
     private final Callbacks mCallbacks;
     private final CellMetrics mMetrics;
@@ -94,7 +94,7 @@
         return configuration == null ? 0 : configuration.version();
     }
 
-    void handle(HttpIn in) {
+    void handle(IncomingRequest in) {
         Configuration configuration = mConfiguration;
         if (configuration == null) {
             refuse(in, "", JobProtocol.unavailable("no configuration yet"));
@@ -104,15 +104,15 @@
         Optional<Configuration.Route> route = configuration.route(host, in.path());
         if (route.isEmpty()) {
             mMetrics.notFound();
-            in.reply(NOT_FOUND, JobProtocol.error("no such queue"));
+            in.reply(NOT_FOUND, JobProtocol.errorBody("no such queue"));
             return;
         }
         String rest = in.path().substring(route.get().prefix().length());
         switch (in.method()) {
             case "POST" -> submit(in, route.get(), configuration.version(), rest);
             case "GET" -> replyStatus(in, rest);
-            case "DELETE" -> in.reply(GONE, JobProtocol.error("no such job"));
-            default -> in.reply(METHOD_NOT_ALLOWED, JobProtocol.error("no such method"));
+            case "DELETE" -> in.reply(GONE, JobProtocol.errorBody("no such job"));
+            default -> in.reply(METHOD_NOT_ALLOWED, JobProtocol.errorBody("no such method"));
         }
     }
 
@@ -123,27 +123,27 @@
     }
 
     /** Jobs that need not be stored are asked for by nobody later; no others are taken yet. */
-    private static void replyStatus(HttpIn in, String rest) {
+    private static void replyStatus(IncomingRequest in, String rest) {
         if (rest.isEmpty()) {
-            in.reply(OK, JobProtocol.waiting(0));
+            in.reply(OK, JobProtocol.waitingBody(0));
         } else {
-            in.reply(GONE, JobProtocol.error("no such job"));
+            in.reply(GONE, JobProtocol.errorBody("no such job"));
         }
     }
 
-    private void submit(HttpIn in, Configuration.Route route, long version, String id) {
+    private void submit(IncomingRequest in, Configuration.Route route, long version, String id) {
         if (!ID.matcher(id).matches()) {
-            in.reply(BAD_REQUEST, JobProtocol.error("a job's id has 16 hexadecimal digits"));
+            in.reply(BAD_REQUEST, JobProtocol.errorBody("a job's id has 16 hexadecimal digits"));
             return;
         }
         JobProtocol.Decoded decoded;
         try {
             decoded = JobProtocol.decode(id, route, version, in.body());
         } catch (PlatformException e) {
-            in.reply(BAD_REQUEST, JobProtocol.error(e.getMessage()));
+            in.reply(BAD_REQUEST, JobProtocol.errorBody(e.getMessage()));
             return;
         }
-        if (decoded instanceof JobProtocol.Decoded.Unserved unserved) {
+        if (decoded instanceof JobProtocol.Decoded.Unsupported unserved) {
             refuse(in, id, JobProtocol.unavailable(unserved.reason()));
             return;
         }
@@ -159,10 +159,10 @@
                 cell.getAsInt(),
                 new EntryEvent.Submitted(
                         ticket, ((JobProtocol.Decoded.Job) decoded).request(), budgetMs));
-        in.whenClosed(() -> callerLeft(ticket));
+        in.onClosedBeforeReply(() -> callerLeft(ticket));
     }
 
-    private static long budgetMs(HttpIn in, Configuration.Route route) {
+    private static long budgetMs(IncomingRequest in, Configuration.Route route) {
         try {
             return in.header(JobProtocol.BUDGET_HEADER)
                     .map(Long::parseLong)
@@ -181,7 +181,7 @@
         }
     }
 
-    private void refuse(HttpIn in, String id, JobProtocol.Reply reply) {
+    private void refuse(IncomingRequest in, String id, JobProtocol.Reply reply) {
         DecisionLog.write(Decision.job("refuse", id, "config=" + configVersion(), reply.body()));
         mMetrics.refused();
         send(in, reply);
@@ -211,13 +211,13 @@
      * failure domain that was cut off was refused for as long as the cut lasted, on the connection
      * that it had.
      */
-    private void send(HttpIn in, JobProtocol.Reply reply) {
+    private void send(IncomingRequest in, JobProtocol.Reply reply) {
         if (mClosingConnections || !mCallbacks.canServeCallers()) {
             in.closeAfterReply();
         }
         Map<String, String> headers =
                 reply.retryAfterS()
-                        .map(seconds -> Map.of(JobProtocol.RETRY_HEADER, seconds.toString()))
+                        .map(seconds -> Map.of(JobProtocol.RETRY_AFTER_HEADER, seconds.toString()))
                         .orElse(Map.of());
         in.reply(reply.status(), "application/json", headers, reply.body());
     }
--- a/entry/src/main/java/org/boragegap/entry/cell/LayoutResolver.java
+++ b/entry/src/main/java/org/boragegap/entry/cell/LayoutResolver.java
@@ -83,7 +83,7 @@
     }
 
     private void layoutRead(StoreResult<KeyedPage> result) {
-        if (!(result instanceof StoreResult.Good<KeyedPage> good)) {
+        if (!(result instanceof StoreResult.Success<KeyedPage> good)) {
             sLog.warn("the layout can't be read: {}", result);
             scheduleRead(RETRY_MS);
             return;
@@ -120,14 +120,14 @@
     }
 
     private void targetsCounted(StoreResult<KeyedPage> result) {
-        if (!(result instanceof StoreResult.Good<KeyedPage> good)) {
+        if (!(result instanceof StoreResult.Success<KeyedPage> good)) {
             sLog.warn("the list of targets can't be read: {}", result);
             scheduleRead(RETRY_MS);
             return;
         }
         KeyedPage page = good.value();
         mTargetCount += page.records().size();
-        if (page.more() && !page.records().isEmpty()) {
+        if (page.hasMore() && !page.records().isEmpty()) {
             countTargets(page.records().get(page.records().size() - 1).key());
             return;
         }
--- a/entry/src/main/java/org/boragegap/entry/cell/OrderSender.java
+++ b/entry/src/main/java/org/boragegap/entry/cell/OrderSender.java
@@ -3,11 +3,11 @@
 import java.util.function.Consumer;
 import org.boragegap.core.cell.CellAction;
 import org.boragegap.core.cell.CellEvent;
-import org.boragegap.platform.TargetOrders;
+import org.boragegap.platform.TargetOrderClient;
 
 /** Sends a cell's orders to targets and turns what becomes of them into events. */
 final class OrderSender {
-    private final TargetOrders mOrders;
+    private final TargetOrderClient mOrders;
     private final Consumer<CellEvent> mEvents;
 
     /**
@@ -15,23 +15,23 @@
      *
      * @param cell takes what became of each order, on any thread
      */
-    OrderSender(TargetOrders orders, Consumer<CellEvent> cell) {
+    OrderSender(TargetOrderClient orders, Consumer<CellEvent> cell) {
         mOrders = orders;
         mEvents = cell;
     }
 
     void extend(CellAction.ExtendLease order) {
-        mOrders.extend(order, result -> mEvents.accept(extended(order, result)));
+        mOrders.extendLease(order, result -> mEvents.accept(extended(order, result)));
     }
 
     private static CellEvent extended(
-            CellAction.ExtendLease order, TargetOrders.LeaseResult result) {
+            CellAction.ExtendLease order, TargetOrderClient.LeaseResult result) {
         String id = order.target().id();
-        if (result instanceof TargetOrders.LeaseResult.Extended extended) {
+        if (result instanceof TargetOrderClient.LeaseResult.Extended extended) {
             return new CellEvent.LeaseExtended(id, order.call(), extended.report());
         }
         return new CellEvent.LeaseFailed(
-                id, order.call(), ((TargetOrders.LeaseResult.NotExtended) result).cause());
+                id, order.call(), ((TargetOrderClient.LeaseResult.NotExtended) result).cause());
     }
 
     void start(CellAction.StartRun order) {
--- a/entry/src/main/java/org/boragegap/entry/cell/TopicWatcher.java
+++ b/entry/src/main/java/org/boragegap/entry/cell/TopicWatcher.java
@@ -96,7 +96,7 @@
         if (round != mEpoch) {
             return;
         }
-        if (!(result instanceof StoreResult.Good<KeyedPage> good)) {
+        if (!(result instanceof StoreResult.Success<KeyedPage> good)) {
             readFailed(result);
             mTimer.schedule(() -> readSnapshot(round, ""), RETRY_MS, TimeUnit.MILLISECONDS);
             return;
@@ -108,7 +108,7 @@
             mSnapshotEnd = page.next();
         }
         apply(page, mSnapshot);
-        if (page.more() && !page.records().isEmpty()) {
+        if (page.hasMore() && !page.records().isEmpty()) {
             readSnapshot(round, page.records().get(page.records().size() - 1).key());
             return;
         }
@@ -139,13 +139,13 @@
         if (round != mEpoch) {
             return;
         }
-        if (result instanceof StoreResult.HistoryGone) {
+        if (result instanceof StoreResult.RecordsDeleted) {
             sLog.info(
                     "records of {} from {} on are deleted: reads the newest", mTopic, mNextOffset);
             readSnapshot(round, "");
             return;
         }
-        if (!(result instanceof StoreResult.Good<KeyedPage> good)) {
+        if (!(result instanceof StoreResult.Success<KeyedPage> good)) {
             readFailed(result);
             mTimer.schedule(() -> readChanges(round), RETRY_MS, TimeUnit.MILLISECONDS);
             return;
--- a/http/src/main/java/org/boragegap/http/HttpPool.java
+++ b/http/src/main/java/org/boragegap/http/ConnectionPool.java
@@ -12,26 +12,26 @@
  * <p>An idle connection may have gone silent for good, and a request written to it would be lost.
  * Only one that worked a moment ago is used again.
  */
-final class HttpPool {
-    private static final long REUSE_WITHIN_MS = 2_000;
+final class ConnectionPool {
+    private static final long MAX_IDLE_MS = 2_000;
 
     private record Idle(Connection<?> connection, long sinceMs) {}
 
-    private final int mMost;
+    private final int mMaxConnections;
     private final Deque<Idle> mIdle = new ArrayDeque<>();
-    private int mOpen;
+    private int mConnectionCount;
 
-    HttpPool(int most) {
-        mMost = most;
+    ConnectionPool(int most) {
+        mMaxConnections = most;
     }
 
     synchronized Connection<?> takeIdle(long nowMs) {
         while (!mIdle.isEmpty()) {
             Idle idle = mIdle.pollLast();
-            if (idle.connection().isOpen() && nowMs - idle.sinceMs() <= REUSE_WITHIN_MS) {
+            if (idle.connection().isOpen() && nowMs - idle.sinceMs() <= MAX_IDLE_MS) {
                 return idle.connection();
             }
-            mOpen--;
+            mConnectionCount--;
             idle.connection().closeSilently();
         }
         return null;
@@ -41,24 +41,24 @@
         mIdle.addLast(new Idle(connection, nowMs));
     }
 
-    synchronized boolean tryOpen() {
-        if (mOpen >= mMost) {
+    synchronized boolean tryReserve() {
+        if (mConnectionCount >= mMaxConnections) {
             return false;
         }
-        mOpen++;
+        mConnectionCount++;
         return true;
     }
 
-    synchronized void closed() {
-        mOpen--;
+    synchronized void connectionClosed() {
+        mConnectionCount--;
     }
 
     void closeStale(long nowMs) {
         List<Connection<?>> stale = new ArrayList<>();
         synchronized (this) {
-            while (!mIdle.isEmpty() && nowMs - mIdle.peekFirst().sinceMs() > REUSE_WITHIN_MS) {
+            while (!mIdle.isEmpty() && nowMs - mIdle.peekFirst().sinceMs() > MAX_IDLE_MS) {
                 stale.add(mIdle.pollFirst().connection());
-                mOpen--;
+                mConnectionCount--;
             }
         }
         stale.forEach(Connection::closeSilently);
--- a/http/src/main/java/org/boragegap/http/HttpCall.java
+++ b/http/src/main/java/org/boragegap/http/HttpCall.java
@@ -14,7 +14,7 @@
  * @param body request body, may be empty
  * @param sendByMs monotonic milliseconds after which it must not be sent any more
  * @param timeoutMs how long the response is waited for
- * @param done takes the result, once
+ * @param onResult takes the result, once
  */
 public record HttpCall(
         String address,
@@ -24,7 +24,7 @@
         byte[] body,
         long sendByMs,
         long timeoutMs,
-        Consumer<HttpResult> done) {
+        Consumer<HttpResult> onResult) {
 
     /** A GET without a time by which it has to be sent. */
     public static HttpCall get(
--- a/http/src/main/java/org/boragegap/http/HttpCaller.java
+++ b/http/src/main/java/org/boragegap/http/HttpClient.java
@@ -36,26 +36,27 @@
  * <p>It tells apart what was surely not sent from what may have been: nothing is ever sent again
  * here.
  */
-public final class HttpCaller {
-    private static final Logger sLog = LogManager.getLogger(HttpCaller.class);
+public final class HttpClient {
+    private static final Logger sLog = LogManager.getLogger(HttpClient.class);
 
     /** On a VM with one core a second thread only adds wake-ups. */
-    private static final int SELECTORS = Math.min(2, Runtime.getRuntime().availableProcessors());
+    private static final int SELECTOR_THREADS =
+            Math.min(2, Runtime.getRuntime().availableProcessors());
 
     /** How often calls are looked at that may be overdue, in ms. */
-    private static final long SWEEP_EVERY_MS = 100;
+    private static final long SWEEP_INTERVAL_MS = 100;
 
     /**
      * The same while no call with a short timeout was sent lately, in ms: a VM that only keeps in
      * touch with the store needs no more, and each look is a wake-up.
      */
-    private static final long CALM_SWEEP_EVERY_MS = 250;
+    private static final long IDLE_SWEEP_INTERVAL_MS = 250;
 
     /** A timeout is short below this, in ms: noticed a quarter of a second late, it is doubled. */
     private static final long SHORT_TIMEOUT_MS = 500;
 
     /** How long a call with a short timeout makes for frequent looks, in ms. */
-    private static final long LATELY_MS = 1_000;
+    private static final long FREQUENT_SWEEP_PERIOD_MS = 1_000;
 
     /**
      * A connection not open by then, in ms, is given up and closed: many round trips. One that was
@@ -63,14 +64,14 @@
      * the cut, and its place among the connections to that address for seven: after a cut of some
      * seconds all places were taken, and nothing could be sent to targets that were back.
      */
-    private static final long CONNECT_WITHIN_MS = 400;
+    private static final long CONNECT_TIMEOUT_MS = 400;
 
     private final TCPNIOTransport mTransport;
-    private final int mConnectionsPerAddress;
-    private final Map<String, HttpPool> mPools = new ConcurrentHashMap<>();
-    private final Map<HttpExchange, GrizzlyFuture<?>> mOpening = new ConcurrentHashMap<>();
-    private final Map<Connection<?>, HttpExchange> mBusy = new ConcurrentHashMap<>();
-    private volatile long mShortCallMs = nowMs() - LATELY_MS;
+    private final int mMaxConnectionsPerAddress;
+    private final Map<String, ConnectionPool> mPools = new ConcurrentHashMap<>();
+    private final Map<HttpExchange, GrizzlyFuture<?>> mConnecting = new ConcurrentHashMap<>();
+    private final Map<Connection<?>, HttpExchange> mInFlight = new ConcurrentHashMap<>();
+    private volatile long mLastShortCallMs = nowMs() - FREQUENT_SWEEP_PERIOD_MS;
     private final ScheduledExecutorService mSweeper =
             Executors.newSingleThreadScheduledExecutor(
                     task -> {
@@ -79,8 +80,8 @@
                         return thread;
                     });
 
-    private HttpCaller(int connectionsPerAddress) {
-        mConnectionsPerAddress = connectionsPerAddress;
+    private HttpClient(int connectionsPerAddress) {
+        mMaxConnectionsPerAddress = connectionsPerAddress;
         FilterChainBuilder chain = FilterChainBuilder.stateless();
         chain.add(new TransportFilter());
         chain.add(new HttpClientFilter());
@@ -91,9 +92,9 @@
                         .setSelectorThreadPoolConfig(
                                 ThreadPoolConfig.defaultConfig()
                                         .setPoolName("http-out")
-                                        .setCorePoolSize(SELECTORS)
-                                        .setMaxPoolSize(SELECTORS))
-                        .setSelectorRunnersCount(SELECTORS)
+                                        .setCorePoolSize(SELECTOR_THREADS)
+                                        .setMaxPoolSize(SELECTOR_THREADS))
+                        .setSelectorRunnersCount(SELECTOR_THREADS)
                         .setTcpNoDelay(true)
                         .setProcessor(chain.build())
                         .build();
@@ -104,14 +105,14 @@
      *
      * @param connectionsPerAddress most connections to one address
      */
-    public static HttpCaller create(int connectionsPerAddress) {
-        return new HttpCaller(connectionsPerAddress);
+    public static HttpClient create(int connectionsPerAddress) {
+        return new HttpClient(connectionsPerAddress);
     }
 
     /** Starts its threads. */
     public void start() throws IOException {
         mTransport.start();
-        sweepLater();
+        scheduleSweep();
     }
 
     /** Closes all connections. */
@@ -133,51 +134,52 @@
     public void send(HttpCall call) {
         long nowMs = nowMs();
         if (call.timeoutMs() < SHORT_TIMEOUT_MS) {
-            mShortCallMs = nowMs;
+            mLastShortCallMs = nowMs;
         }
         HttpExchange exchange = new HttpExchange(call, nowMs);
-        HttpPool pool =
+        ConnectionPool pool =
                 mPools.computeIfAbsent(
-                        call.address(), address -> new HttpPool(mConnectionsPerAddress));
+                        call.address(), address -> new ConnectionPool(mMaxConnectionsPerAddress));
         Connection<?> idle = pool.takeIdle(nowMs());
         if (idle != null) {
             write(idle, exchange);
-        } else if (pool.tryOpen()) {
-            open(pool, exchange);
+        } else if (pool.tryReserve()) {
+            connect(pool, exchange);
         } else {
-            exchange.endUnsent("no connection to it is free");
+            exchange.failUnsent("no connection to it is free");
         }
     }
 
     @SuppressWarnings("rawtypes")
-    private void open(HttpPool pool, HttpExchange exchange) {
-        GrizzlyFuture<Connection> opening = mTransport.connect(address(exchange.call().address()));
-        mOpening.put(exchange, opening);
+    private void connect(ConnectionPool pool, HttpExchange exchange) {
+        GrizzlyFuture<Connection> opening =
+                mTransport.connect(parseAddress(exchange.call().address()));
+        mConnecting.put(exchange, opening);
         opening.addCompletionHandler(
                 new EmptyCompletionHandler<>() {
                     @Override
                     public void completed(Connection connection) {
-                        mOpening.remove(exchange);
+                        mConnecting.remove(exchange);
                         write(connection, exchange);
                     }
 
                     @Override
                     public void cancelled() {
-                        mOpening.remove(exchange);
-                        pool.closed();
-                        exchange.endUnsent("no connection in time");
+                        mConnecting.remove(exchange);
+                        pool.connectionClosed();
+                        exchange.failUnsent("no connection in time");
                     }
 
                     @Override
                     public void failed(Throwable cause) {
-                        mOpening.remove(exchange);
-                        pool.closed();
-                        exchange.endUnsent("no connection: " + cause.getMessage());
+                        mConnecting.remove(exchange);
+                        pool.connectionClosed();
+                        exchange.failUnsent("no connection: " + cause.getMessage());
                     }
                 });
     }
 
-    private static InetSocketAddress address(String address) {
+    private static InetSocketAddress parseAddress(String address) {
         int colon = address.lastIndexOf(':');
         String host = address.substring(0, colon);
         return new InetSocketAddress(host, Integer.parseInt(address.substring(colon + 1)));
@@ -191,14 +193,14 @@
         HttpCall call = exchange.call();
         if (nowMs() > call.sendByMs()) {
             pool(call).putIdle(connection, nowMs());
-            exchange.endUnsent("too late to send it");
+            exchange.failUnsent("too late to send it");
             return;
         }
-        if (!exchange.begin(nowMs())) {
+        if (!exchange.markSent(nowMs())) {
             pool(call).putIdle(connection, nowMs());
             return;
         }
-        mBusy.put(connection, exchange);
+        mInFlight.put(connection, exchange);
         HttpRequestPacket.Builder request =
                 HttpRequestPacket.builder()
                         .method(call.method())
@@ -216,60 +218,60 @@
         }
     }
 
-    private HttpPool pool(HttpCall call) {
+    private ConnectionPool pool(HttpCall call) {
         return mPools.get(call.address());
     }
 
     private void onClosed(Connection<?> connection) {
-        HttpExchange exchange = mBusy.remove(connection);
+        HttpExchange exchange = mInFlight.remove(connection);
         if (exchange == null) {
             return;
         }
-        pool(exchange.call()).closed();
-        exchange.end(new HttpResult.Lost("the connection closed before the whole response"));
+        pool(exchange.call()).connectionClosed();
+        exchange.complete(new HttpResult.Lost("the connection closed before the whole response"));
     }
 
-    private void sweepLater() {
-        boolean frequent = nowMs() - mShortCallMs <= LATELY_MS;
-        long delayMs = frequent ? SWEEP_EVERY_MS : CALM_SWEEP_EVERY_MS;
-        mSweeper.schedule(this::sweepAndGoOn, delayMs, TimeUnit.MILLISECONDS);
+    private void scheduleSweep() {
+        boolean frequent = nowMs() - mLastShortCallMs <= FREQUENT_SWEEP_PERIOD_MS;
+        long delayMs = frequent ? SWEEP_INTERVAL_MS : IDLE_SWEEP_INTERVAL_MS;
+        mSweeper.schedule(this::sweepAndReschedule, delayMs, TimeUnit.MILLISECONDS);
     }
 
-    private void sweepAndGoOn() {
+    private void sweepAndReschedule() {
         try {
             sweep();
         } catch (RuntimeException e) {
             sLog.error("overdue calls can't be looked at, the next look may", e);
         }
-        sweepLater();
+        scheduleSweep();
     }
 
     private void sweep() {
         long nowMs = nowMs();
-        mOpening.forEach(
+        mConnecting.forEach(
                 (exchange, opening) -> {
-                    if (exchange.waitsTooLong(nowMs, CONNECT_WITHIN_MS)) {
+                    if (exchange.isConnectTimedOut(nowMs, CONNECT_TIMEOUT_MS)) {
                         opening.cancel(true);
                     }
                 });
-        for (Map.Entry<Connection<?>, HttpExchange> entry : mBusy.entrySet()) {
-            if (entry.getValue().overdue(nowMs)) {
-                giveUp(entry.getKey());
+        for (Map.Entry<Connection<?>, HttpExchange> entry : mInFlight.entrySet()) {
+            if (entry.getValue().isResponseOverdue(nowMs)) {
+                timeOut(entry.getKey());
             }
         }
-        for (HttpPool pool : mPools.values()) {
+        for (ConnectionPool pool : mPools.values()) {
             pool.closeStale(nowMs);
         }
     }
 
-    private void giveUp(Connection<?> connection) {
-        HttpExchange exchange = mBusy.remove(connection);
+    private void timeOut(Connection<?> connection) {
+        HttpExchange exchange = mInFlight.remove(connection);
         if (exchange == null) {
             return;
         }
         connection.closeSilently();
-        pool(exchange.call()).closed();
-        exchange.end(new HttpResult.Lost("no response in time"));
+        pool(exchange.call()).connectionClosed();
+        exchange.complete(new HttpResult.Lost("no response in time"));
     }
 
     private final class ResponseFilter extends BaseFilter {
@@ -281,7 +283,7 @@
             }
             HttpResponsePacket response = (HttpResponsePacket) content.getHttpHeader();
             Connection<?> connection = context.getConnection();
-            HttpExchange exchange = mBusy.remove(connection);
+            HttpExchange exchange = mInFlight.remove(connection);
             if (exchange == null) {
                 connection.closeSilently();
                 return context.getStopAction();
@@ -294,10 +296,10 @@
             if (keep) {
                 pool(exchange.call()).putIdle(connection, nowMs());
             } else {
-                pool(exchange.call()).closed();
+                pool(exchange.call()).connectionClosed();
                 connection.closeSilently();
             }
-            exchange.end(
+            exchange.complete(
                     new HttpResult.Response(response.getStatus(), body, tag == null ? "" : tag));
             return context.getStopAction();
         }
--- a/http/src/main/java/org/boragegap/http/HttpEndpoint.java
+++ b/http/src/main/java/org/boragegap/http/HttpEndpoint.java
@@ -25,10 +25,11 @@
     private static final Logger sLog = LogManager.getLogger(HttpEndpoint.class);
 
     /** On a VM with one core a second thread only adds wake-ups. */
-    private static final int SELECTORS = Math.min(2, Runtime.getRuntime().availableProcessors());
+    private static final int SELECTOR_THREADS =
+            Math.min(2, Runtime.getRuntime().availableProcessors());
 
-    private static final int TOO_LARGE = 413;
-    private static final int MOST_HEADER_BYTES = 16 * 1024;
+    private static final int CONTENT_TOO_LARGE = 413;
+    private static final int MAX_HEADER_BYTES = 16 * 1024;
     private static final int BUFFER_BYTES = 8 * 1024;
 
     private final HttpServer mServer = new HttpServer();
@@ -36,23 +37,24 @@
 
     private HttpEndpoint(String name, String host, int port, int mostBytes, Handler handler) {
         mListener = new NetworkListener(name, host, port);
-        mListener.setMaxHttpHeaderSize(MOST_HEADER_BYTES);
+        mListener.setMaxHttpHeaderSize(MAX_HEADER_BYTES);
         TCPNIOTransport transport = mListener.getTransport();
         transport.setIOStrategy(SameThreadIOStrategy.getInstance());
-        transport.setSelectorRunnersCount(SELECTORS);
+        transport.setSelectorRunnersCount(SELECTOR_THREADS);
         transport.setKernelThreadPoolConfig(
                 ThreadPoolConfig.defaultConfig()
                         .setPoolName(name)
-                        .setCorePoolSize(SELECTORS)
-                        .setMaxPoolSize(SELECTORS));
+                        .setCorePoolSize(SELECTOR_THREADS)
+                        .setMaxPoolSize(SELECTOR_THREADS));
         transport.setTcpNoDelay(true);
         mServer.addListener(mListener);
-        mServer.getServerConfiguration().addHttpHandler(new WholeBodies(mostBytes, handler), "/");
+        mServer.getServerConfiguration()
+                .addHttpHandler(new BodyBufferingHandler(mostBytes, handler), "/");
         mServer.getServerConfiguration().setJmxEnabled(false);
     }
 
     /** Takes requests. */
-    public interface Handler extends Consumer<HttpIn> {}
+    public interface Handler extends Consumer<IncomingRequest> {}
 
     /**
      * Makes an endpoint.
@@ -95,35 +97,35 @@
         mServer.shutdownNow();
     }
 
-    private static final class WholeBodies extends HttpHandler {
-        private final int mMostBytes;
+    private static final class BodyBufferingHandler extends HttpHandler {
+        private final int mMaxBodyBytes;
         private final Handler mHandler;
 
-        private WholeBodies(int mostBytes, Handler handler) {
-            mMostBytes = mostBytes;
+        private BodyBufferingHandler(int mostBytes, Handler handler) {
+            mMaxBodyBytes = mostBytes;
             mHandler = handler;
         }
 
         @Override
         public void service(Request request, Response response) {
             response.suspend();
-            if (request.getContentLengthLong() > mMostBytes) {
-                tooLarge(request, response);
+            if (request.getContentLengthLong() > mMaxBodyBytes) {
+                rejectTooLarge(request, response);
                 return;
             }
             NIOInputStream input = request.getNIOInputStream();
             input.notifyAvailable(new BodyReader(request, response, input));
         }
 
-        private void tooLarge(Request request, Response response) {
+        private void rejectTooLarge(Request request, Response response) {
             String problem =
                     "{\"title\":\"Body too large\",\"status\":413,\"outcome\":\"not_run\","
                             + "\"detail\":\"the body may have "
-                            + mMostBytes
+                            + mMaxBodyBytes
                             + " bytes\"}";
-            new HttpIn(request, response, new byte[0])
+            new IncomingRequest(request, response, new byte[0])
                     .reply(
-                            TOO_LARGE,
+                            CONTENT_TOO_LARGE,
                             "application/problem+json",
                             Map.of("Connection", "close"),
                             problem);
@@ -144,8 +146,8 @@
             @Override
             public void onDataAvailable() throws IOException {
                 readAvailable();
-                if (mBytes.size() > mMostBytes) {
-                    tooLarge(mRequest, mResponse);
+                if (mBytes.size() > mMaxBodyBytes) {
+                    rejectTooLarge(mRequest, mResponse);
                     return;
                 }
                 mInput.notifyAvailable(this);
@@ -154,11 +156,11 @@
             @Override
             public void onAllDataRead() throws IOException {
                 readAvailable();
-                if (mBytes.size() > mMostBytes) {
-                    tooLarge(mRequest, mResponse);
+                if (mBytes.size() > mMaxBodyBytes) {
+                    rejectTooLarge(mRequest, mResponse);
                     return;
                 }
-                mHandler.accept(new HttpIn(mRequest, mResponse, mBytes.toByteArray()));
+                mHandler.accept(new IncomingRequest(mRequest, mResponse, mBytes.toByteArray()));
             }
 
             @Override
--- a/http/src/main/java/org/boragegap/http/HttpExchange.java
+++ b/http/src/main/java/org/boragegap/http/HttpExchange.java
@@ -11,13 +11,13 @@
     }
 
     private final HttpCall mCall;
-    private final long mMadeMs;
+    private final long mCreatedMs;
     private final AtomicReference<State> mState = new AtomicReference<>(State.WAITING);
     private volatile long mSentMs;
 
     HttpExchange(HttpCall call, long nowMs) {
         mCall = call;
-        mMadeMs = nowMs;
+        mCreatedMs = nowMs;
     }
 
     HttpCall call() {
@@ -25,31 +25,31 @@
     }
 
     /** Marks it as being sent; false when it was given up before. */
-    boolean begin(long nowMs) {
+    boolean markSent(long nowMs) {
         mSentMs = nowMs;
         return mState.compareAndSet(State.WAITING, State.SENT);
     }
 
     /** True when its connection takes too long to open. */
-    boolean waitsTooLong(long nowMs, long mostMs) {
-        return mState.get() == State.WAITING && nowMs - mMadeMs > mostMs;
+    boolean isConnectTimedOut(long nowMs, long mostMs) {
+        return mState.get() == State.WAITING && nowMs - mCreatedMs > mostMs;
     }
 
-    boolean overdue(long nowMs) {
+    boolean isResponseOverdue(long nowMs) {
         return nowMs - mSentMs > mCall.timeoutMs();
     }
 
     /** Gives it up unsent; does nothing if it is being sent, since then it may arrive. */
-    void endUnsent(String reason) {
+    void failUnsent(String reason) {
         if (mState.compareAndSet(State.WAITING, State.ENDED)) {
-            mCall.done().accept(new HttpResult.NotSent(reason));
+            mCall.onResult().accept(new HttpResult.NotSent(reason));
         }
     }
 
     /** Ends it after it was sent. */
-    void end(HttpResult result) {
+    void complete(HttpResult result) {
         if (mState.compareAndSet(State.SENT, State.ENDED)) {
-            mCall.done().accept(result);
+            mCall.onResult().accept(result);
         }
     }
 }
--- a/http/src/main/java/org/boragegap/http/HttpIn.java
+++ b/http/src/main/java/org/boragegap/http/IncomingRequest.java
@@ -14,16 +14,16 @@
 import org.glassfish.grizzly.http.server.Response;
 
 /** One request that came in, with its whole body; it is replied to once, on any thread. */
-public final class HttpIn {
+public final class IncomingRequest {
     private final Request mRequest;
     private final Response mResponse;
     private final byte[] mBody;
     private final AtomicBoolean mReplied = new AtomicBoolean();
 
-    /** Takes back what {@link #whenClosed} has asked for. */
-    private volatile Runnable mForgetClosed = () -> {};
+    /** Takes back what {@link #onClosedBeforeReply} has asked for. */
+    private volatile Runnable mRemoveCloseListener = () -> {};
 
-    HttpIn(Request request, Response response, byte[] body) {
+    IncomingRequest(Request request, Response response, byte[] body) {
         mRequest = request;
         mResponse = response;
         mBody = body;
@@ -62,7 +62,7 @@
      * see the end.
      */
     @SuppressWarnings({"rawtypes", "unchecked", "deprecation"})
-    public void whenClosed(Runnable left) {
+    public void onClosedBeforeReply(Runnable left) {
         Connection<?> connection = mRequest.getContext().getConnection();
         CloseListener<Closeable, ICloseType> listener =
                 (closeable, type) -> {
@@ -71,10 +71,10 @@
                     }
                 };
         connection.addCloseListener(listener);
-        mForgetClosed = () -> connection.removeCloseListener(listener);
+        mRemoveCloseListener = () -> connection.removeCloseListener(listener);
         if (mReplied.get()) {
             // Replied to by another thread meanwhile, which found nothing to forget yet.
-            mForgetClosed.run();
+            mRemoveCloseListener.run();
         }
         try {
             connection.enableIOEvent(IOEvent.READ);
@@ -112,7 +112,7 @@
         if (!mReplied.compareAndSet(false, true)) {
             return;
         }
-        mForgetClosed.run();
+        mRemoveCloseListener.run();
         mResponse.setStatus(status);
         mResponse.setContentType(contentType);
         mResponse.setContentLength(bytes.length);
--- a/http/src/test/java/org/boragegap/http/HttpCallerTest.java
+++ b/http/src/test/java/org/boragegap/http/HttpClientTest.java
@@ -18,12 +18,12 @@
 import org.junit.jupiter.api.Test;
 
 /** What the client says of a request whose connection failed it, over real sockets. */
-final class HttpCallerTest {
+final class HttpClientTest {
     private static final String HOST = "127.0.0.1";
-    private static final long PATIENCE_S = 10;
+    private static final long TIMEOUT_S = 10;
     private static final String OK = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
 
-    private final HttpCaller mCaller = HttpCaller.create(2);
+    private final HttpClient mCaller = HttpClient.create(2);
 
     @BeforeEach
     void start() throws IOException {
@@ -42,8 +42,8 @@
         return result;
     }
 
-    private static HttpResult get(CompletableFuture<HttpResult> result) throws Exception {
-        return result.get(PATIENCE_S, TimeUnit.SECONDS);
+    private static HttpResult await(CompletableFuture<HttpResult> result) throws Exception {
+        return result.get(TIMEOUT_S, TimeUnit.SECONDS);
     }
 
     private static ServerSocket server() throws IOException {
@@ -67,26 +67,26 @@
     @Nested
     final class Sent {
         @Test
-        void aWholeResponseIsTaken() throws Exception {
+        void completeResponseIsReturned() throws Exception {
             try (ServerSocket server = server()) {
                 CompletableFuture<HttpResult> result = post(server, 5_000);
                 Socket socket = server.accept();
                 readRequest(socket);
                 write(socket, OK);
-                assertThat(((HttpResult.Response) get(result)).text()).isEqualTo("ok");
+                assertThat(((HttpResult.Response) await(result)).text()).isEqualTo("ok");
                 socket.close();
             }
         }
 
         @Test
-        void aResponseThatIsCutShortIsLost() throws Exception {
+        void truncatedResponseIsLost() throws Exception {
             try (ServerSocket server = server()) {
                 CompletableFuture<HttpResult> result = post(server, 5_000);
                 Socket socket = server.accept();
                 readRequest(socket);
                 write(socket, OK.substring(0, OK.length() - 1));
                 socket.close();
-                assertThat(get(result)).isInstanceOf(HttpResult.Lost.class);
+                assertThat(await(result)).isInstanceOf(HttpResult.Lost.class);
             }
         }
 
@@ -96,23 +96,23 @@
          * connection.
          */
         @Test
-        void aRequestOnASilentConnectionIsLostAndSentOnce() throws Exception {
+        void requestOnUnresponsiveConnectionIsLostAndSentOnce() throws Exception {
             try (ServerSocket server = server()) {
                 CompletableFuture<HttpResult> first = post(server, 5_000);
                 Socket socket = server.accept();
                 readRequest(socket);
                 write(socket, OK);
-                get(first);
+                await(first);
                 CompletableFuture<HttpResult> second = post(server, 200);
                 readRequest(socket);
-                assertThat(get(second)).isInstanceOf(HttpResult.Lost.class);
+                assertThat(await(second)).isInstanceOf(HttpResult.Lost.class);
                 assertThat(socket.getInputStream().read()).isEqualTo(-1);
 
                 CompletableFuture<HttpResult> third = post(server, 5_000);
                 Socket fresh = server.accept();
                 readRequest(fresh);
                 write(fresh, OK);
-                assertThat(get(third)).isInstanceOf(HttpResult.Response.class);
+                assertThat(await(third)).isInstanceOf(HttpResult.Response.class);
                 fresh.close();
                 socket.close();
             }
@@ -122,37 +122,37 @@
     @Nested
     final class NotSent {
         @Test
-        void aRefusedConnectionMeansNotSent() throws Exception {
+        void refusedConnectionMeansNotSent() throws Exception {
             ServerSocket server = server();
             server.close();
-            assertThat(get(post(server, 5_000))).isInstanceOf(HttpResult.NotSent.class);
+            assertThat(await(post(server, 5_000))).isInstanceOf(HttpResult.NotSent.class);
         }
 
         @Test
-        void noMoreConnectionsAreOpenedThanAllowed() throws Exception {
+        void connectionLimitIsRespected() throws Exception {
             try (ServerSocket server = server()) {
                 List<CompletableFuture<HttpResult>> open = new ArrayList<>();
                 open.add(post(server, 5_000));
                 open.add(post(server, 5_000));
-                assertThat(get(post(server, 5_000))).isInstanceOf(HttpResult.NotSent.class);
+                assertThat(await(post(server, 5_000))).isInstanceOf(HttpResult.NotSent.class);
                 for (int i = 0; i < open.size(); i++) {
                     Socket socket = server.accept();
                     readRequest(socket);
                     write(socket, OK);
                 }
                 for (CompletableFuture<HttpResult> result : open) {
-                    assertThat(get(result)).isInstanceOf(HttpResult.Response.class);
+                    assertThat(await(result)).isInstanceOf(HttpResult.Response.class);
                 }
             }
         }
 
         /** The process was paused between the decision and the send, and wakes too late. */
         @Test
-        void aRequestThatIsTooLateIsNotSent() throws Exception {
+        void requestPastItsSendDeadlineIsNotSent() throws Exception {
             try (ServerSocket server = server()) {
                 CompletableFuture<HttpResult> result = new CompletableFuture<>();
                 String address = HOST + ":" + server.getLocalPort();
-                long past = HttpCaller.nowMs() - 1;
+                long past = HttpClient.nowMs() - 1;
                 mCaller.send(
                         new HttpCall(
                                 address,
@@ -163,7 +163,7 @@
                                 past,
                                 5_000,
                                 result::complete));
-                assertThat(get(result)).isEqualTo(new HttpResult.NotSent("too late to send it"));
+                assertThat(await(result)).isEqualTo(new HttpResult.NotSent("too late to send it"));
             }
         }
     }
--- a/http/src/test/java/org/boragegap/http/HttpEndpointTest.java
+++ b/http/src/test/java/org/boragegap/http/HttpEndpointTest.java
@@ -20,7 +20,7 @@
     /** The system chooses one as the endpoint begins to listen, so that none can take it before. */
     private static final int ANY_PORT = 0;
 
-    private static final int PATIENCE_MS = 10_000;
+    private static final int TIMEOUT_MS = 10_000;
     private static final int REQUESTS = 50;
     private static final byte[] REQUEST =
             "GET / HTTP/1.1\r\nHost: a\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
@@ -30,7 +30,7 @@
      * answer, and then the connection ends, so that its next request goes to another process.
      */
     @Test
-    void aConnectionIsClosedAfterAWholeReplyWhenAskedFor() throws Exception {
+    void connectionIsClosedAfterReplyOnRequest() throws Exception {
         HttpEndpoint endpoint =
                 HttpEndpoint.create(
                         "test",
@@ -43,7 +43,7 @@
                         });
         endpoint.start();
         try (Socket socket = new Socket(HOST, endpoint.port())) {
-            socket.setSoTimeout(PATIENCE_MS);
+            socket.setSoTimeout(TIMEOUT_MS);
             socket.getOutputStream().write(REQUEST);
             InputStream in = socket.getInputStream();
             String answer = new String(in.readAllBytes(), StandardCharsets.UTF_8);
@@ -59,7 +59,7 @@
      * its reply was kept until the connection ended.
      */
     @Test
-    void whatIsToldWhenACallerLeavesIsForgottenWithTheReply() throws Exception {
+    void closeListenerIsRemovedByTheReply() throws Exception {
         List<WeakReference<Object>> kept = Collections.synchronizedList(new ArrayList<>());
         HttpEndpoint endpoint =
                 HttpEndpoint.create(
@@ -70,15 +70,15 @@
                         in -> {
                             Object told = new Object();
                             kept.add(new WeakReference<>(told));
-                            in.whenClosed(told::hashCode);
+                            in.onClosedBeforeReply(told::hashCode);
                             in.reply(200, "{}");
                         });
         endpoint.start();
         try (Socket socket = new Socket(HOST, endpoint.port())) {
-            socket.setSoTimeout(PATIENCE_MS);
+            socket.setSoTimeout(TIMEOUT_MS);
             for (int i = 0; i < REQUESTS; i++) {
                 socket.getOutputStream().write(REQUEST);
-                readAnswer(socket.getInputStream());
+                readResponse(socket.getInputStream());
             }
             System.gc();
             long alive = kept.stream().filter(reference -> reference.get() != null).count();
@@ -89,7 +89,7 @@
         endpoint.stop();
     }
 
-    private static void readAnswer(InputStream in) throws IOException {
+    private static void readResponse(InputStream in) throws IOException {
         StringBuilder text = new StringBuilder();
         while (!text.toString().endsWith("{}")) {
             int next = in.read();
--- a/standin/src/main/java/org/boragegap/standin/CellTargetStandin.java
+++ b/standin/src/main/java/org/boragegap/standin/CellTargetStandin.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 import org.boragegap.http.HttpEndpoint;
-import org.boragegap.http.HttpIn;
+import org.boragegap.http.IncomingRequest;
 import org.boragegap.platform.PlatformException;
 import org.boragegap.platform.PlatformJson;
 
@@ -45,7 +45,7 @@
 
     private record Ended(long number, String task, int run, String how) {}
 
-    private record Held(HttpIn in, long untilMs) {}
+    private record Held(IncomingRequest in, long untilMs) {}
 
     private final String mId;
     private final String mAddress;
@@ -141,7 +141,7 @@
         return System.nanoTime() / 1_000_000 + CLOCK_OFFSET_MS;
     }
 
-    private void handle(HttpIn in) {
+    private void handle(IncomingRequest in) {
         if (in.header("Expect-Instance").filter(id -> !id.equals(mId)).isPresent()) {
             in.reply(OTHER_INCARNATION, "{}");
             return;
@@ -162,7 +162,7 @@
         return mAnswers;
     }
 
-    private synchronized void carryOut(HttpIn in, JsonNode call) {
+    private synchronized void carryOut(IncomingRequest in, JsonNode call) {
         if (call.path("Fence").asLong() < mFence) {
             in.reply(CONFLICT, refusal("fence"));
             return;
@@ -177,7 +177,7 @@
     }
 
     /** An empty reason is success. */
-    private void answer(HttpIn in, String reason) {
+    private void answer(IncomingRequest in, String reason) {
         if (mAnswers != Answers.PROMPT) {
             in.drop();
         } else if (reason.isEmpty()) {
@@ -227,7 +227,7 @@
         return "";
     }
 
-    private void hold(HttpIn in, JsonNode call) {
+    private void hold(IncomingRequest in, JsonNode call) {
         extendTo(call.path("UntilMs").asLong());
         mEnded.removeIf(row -> row.number() <= call.path("AckCursor").asLong());
         mHeld.add(new Held(in, clockMs() + call.path("WaitMs").asLong()));
--- a/standin/src/main/java/org/boragegap/standin/LogStandin.java
+++ b/standin/src/main/java/org/boragegap/standin/LogStandin.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 import org.boragegap.http.HttpEndpoint;
-import org.boragegap.http.HttpIn;
+import org.boragegap.http.IncomingRequest;
 import org.boragegap.platform.LogPage;
 import org.boragegap.platform.PlatformJson;
 
@@ -70,7 +70,7 @@
         mDelays.shutdownNow();
     }
 
-    private void handle(int listener, HttpIn in) {
+    private void handle(int listener, IncomingRequest in) {
         if (in.path().equals("/control")) {
             control(in);
         } else if (in.path().equals("/stats")) {
@@ -82,7 +82,7 @@
         }
     }
 
-    private void control(HttpIn in) {
+    private void control(IncomingRequest in) {
         try {
             LogMode mode = LogMode.valueOf(in.query("mode").orElse("UP"));
             mSlowMs = Long.parseLong(in.query("slowMs").orElse("500"));
@@ -98,7 +98,7 @@
         }
     }
 
-    private synchronized void serve(int listener, HttpIn in) {
+    private synchronized void serve(int listener, IncomingRequest in) {
         LogMode mode = mModes[listener];
         if (!mode.appends()) {
             in.drop();
@@ -117,7 +117,7 @@
         }
     }
 
-    private static long from(HttpIn in) {
+    private static long from(IncomingRequest in) {
         try {
             return Long.parseLong(in.query("from").orElse("0"));
         } catch (NumberFormatException e) {
@@ -125,7 +125,7 @@
         }
     }
 
-    private static void answer(LogMode mode, HttpIn in, String json) {
+    private static void answer(LogMode mode, IncomingRequest in, String json) {
         if (mode.replies()) {
             in.reply(OK, json);
         } else {
--- a/standin/src/main/java/org/boragegap/standin/StoreStandin.java
+++ b/standin/src/main/java/org/boragegap/standin/StoreStandin.java
@@ -18,7 +18,7 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 import org.boragegap.http.HttpEndpoint;
-import org.boragegap.http.HttpIn;
+import org.boragegap.http.IncomingRequest;
 import org.boragegap.platform.PlatformException;
 import org.boragegap.platform.PlatformJson;
 
@@ -118,7 +118,7 @@
         return newest;
     }
 
-    private void handle(HttpIn in) {
+    private void handle(IncomingRequest in) {
         if (isDown()) {
             in.reply(UNAVAILABLE, "{}");
             return;
@@ -224,7 +224,7 @@
     }
 
     /** Takes one record of a keyed topic, on the condition that the topic ends where it says. */
-    private synchronized void append(HttpIn in) {
+    private synchronized void append(IncomingRequest in) {
         Topic topic = topic(in.query("Topic").orElse(""));
         long at = Long.parseLong(in.query("At").orElse(Long.toString(topic.end())));
         if (at != topic.end()) {
@@ -241,7 +241,7 @@
         in.reply(OK, "{\"Offset\":" + at + ",\"End\":" + topic.end() + "}");
     }
 
-    private void read(HttpIn in, long sinceNanos) {
+    private void read(IncomingRequest in, long sinceNanos) {
         String name = in.query("Topic").orElse("");
         long from = Long.parseLong(in.query("From").orElse("0"));
         long waitMs = Long.parseLong(in.query("WaitMs").orElse("0"));
--- a/standin/src/main/java/org/boragegap/standin/TargetStandin.java
+++ b/standin/src/main/java/org/boragegap/standin/TargetStandin.java
@@ -13,7 +13,7 @@
 import org.boragegap.core.job.Resources;
 import org.boragegap.core.placement.Role;
 import org.boragegap.http.HttpEndpoint;
-import org.boragegap.http.HttpIn;
+import org.boragegap.http.IncomingRequest;
 import org.boragegap.platform.PlatformException;
 import org.boragegap.platform.PlatformJson;
 import org.boragegap.platform.TaskOrder;
@@ -32,7 +32,8 @@
     private static final int FAILED = 500;
     private static final int BAD_REQUEST = 400;
 
-    private record Running(HttpIn in, TaskOrder order, TaskPayload payload, long startedMs) {}
+    private record Running(
+            IncomingRequest in, TaskOrder order, TaskPayload payload, long startedMs) {}
 
     private final HttpEndpoint mEndpoint;
     private final Role mRole;
@@ -96,7 +97,7 @@
         return mStarts;
     }
 
-    private void handle(HttpIn in) {
+    private void handle(IncomingRequest in) {
         String route = in.method() + " " + in.path();
         switch (route) {
             case "POST /tasks" -> order(in);
@@ -119,7 +120,7 @@
         return "{\"starts\":" + mTotalStarts.get() + ",\"mostSlots\":" + mMostSlots + "}";
     }
 
-    private void control(HttpIn in) {
+    private void control(IncomingRequest in) {
         try {
             mMode = TargetMode.valueOf(in.query("mode").orElse("NORMAL"));
             in.reply(OK, "{}");
@@ -128,7 +129,7 @@
         }
     }
 
-    private void order(HttpIn in) {
+    private void order(IncomingRequest in) {
         TaskOrder order;
         TaskPayload payload;
         try {
@@ -149,7 +150,7 @@
         }
     }
 
-    private static void refuse(HttpIn in, TaskOrder order, RefusalCause cause) {
+    private static void refuse(IncomingRequest in, TaskOrder order, RefusalCause cause) {
         TaskReport report =
                 new TaskReport(
                         order.submission(), order.index(), null, 0, Resources.NONE, cause, null);
@@ -218,7 +219,7 @@
     }
 
     private static void reply(Running task, TargetMode mode) {
-        HttpIn in = task.in();
+        IncomingRequest in = task.in();
         TaskOrder order = task.order();
         long tookMs = System.nanoTime() / 1_000_000 - task.startedMs();
         Resources used = new Resources(cpuMillis(task), order.need().memoryMb(), 0);
@@ -245,7 +246,7 @@
                         order.submission(), order.index(), result, tookMs, used, null, error));
     }
 
-    private void cancel(HttpIn in) {
+    private void cancel(IncomingRequest in) {
         String key = in.query("owner").orElse("") + "/" + in.query("attempt").orElse("");
         ScheduledFuture<?> ending = mEnds.remove(key);
         Running task = mRunning.remove(key);
--- a/standin/src/main/java/org/boragegap/standin/VmListStandin.java
+++ b/standin/src/main/java/org/boragegap/standin/VmListStandin.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 import org.boragegap.http.HttpEndpoint;
-import org.boragegap.http.HttpIn;
+import org.boragegap.http.IncomingRequest;
 import org.boragegap.platform.PlatformException;
 import org.boragegap.platform.PlatformJson;
 import org.boragegap.platform.VmList;
@@ -60,7 +60,7 @@
         mDelays.shutdownNow();
     }
 
-    private void handle(int listener, HttpIn in) {
+    private void handle(int listener, IncomingRequest in) {
         if (in.path().equals("/control")) {
             boolean down = in.query("down").map(Boolean::parseBoolean).orElse(false);
             int chosen = Integer.parseInt(in.query("listener").orElse("-1"));
@@ -79,7 +79,7 @@
         }
     }
 
-    private void show(HttpIn in) {
+    private void show(IncomingRequest in) {
         String json = PlatformJson.write(mShown);
         String tag = '"' + Integer.toHexString(json.hashCode()) + '"';
         boolean known = in.header("If-None-Match").filter(tag::equals).isPresent();
@@ -87,7 +87,7 @@
         in.reply(known ? NOT_MODIFIED : OK, "application/json", headers, known ? "" : json);
     }
 
-    private void change(HttpIn in) {
+    private void change(IncomingRequest in) {
         try {
             VmList list = PlatformJson.read(in.text(), VmList.class);
             mDelays.schedule(() -> mShown = list, mLagMs, TimeUnit.MILLISECONDS);
--- a/wire/src/main/java/org/boragegap/wire/CellFields.java
+++ b/wire/src/main/java/org/boragegap/wire/CellFields.java
@@ -61,7 +61,7 @@
                     unpacker.unpackString(), unpacker.unpackLong(), VerdictFields.unpack(unpacker));
         }
     },
-    LEADING(CellMessage.Heartbeat.class) {
+    HEARTBEAT(CellMessage.Heartbeat.class) {
         @Override
         void packFields(MessagePacker packer, CellMessage message) throws IOException {
             CellMessage.Heartbeat leading = (CellMessage.Heartbeat) message;
@@ -89,7 +89,7 @@
             return new CellMessage.Leaving(unpacker.unpackLong());
         }
     },
-    MISSING(CellMessage.ControllerMissing.class) {
+    CONTROLLER_MISSING(CellMessage.ControllerMissing.class) {
         @Override
         void packFields(MessagePacker packer, CellMessage message) throws IOException {
             CellMessage.ControllerMissing missing = (CellMessage.ControllerMissing) message;
@@ -148,7 +148,7 @@
             return all[number];
         }
     },
-    FOLLOWING(CellMessage.HeartbeatReply.class) {
+    HEARTBEAT_REPLY(CellMessage.HeartbeatReply.class) {
         @Override
         void packFields(MessagePacker packer, CellMessage message) throws IOException {
             CellMessage.HeartbeatReply following = (CellMessage.HeartbeatReply) message;
@@ -181,14 +181,14 @@
     }
 
     /** True when these are the fields of that type of message. */
-    boolean isOf(Class<?> type) {
+    boolean isFor(Class<?> type) {
         return mType == type;
     }
 
     /** The fields of a message. */
     static CellFields of(CellMessage message) {
         for (CellFields fields : ALL) {
-            if (fields.isOf(message.getClass())) {
+            if (fields.isFor(message.getClass())) {
                 return fields;
             }
         }
--- a/wire/src/main/java/org/boragegap/wire/CellFrames.java
+++ b/wire/src/main/java/org/boragegap/wire/CellFrames.java
@@ -35,7 +35,7 @@
     private CellFrames() {}
 
     /** True when the message has such a frame. */
-    static boolean takes(PeerMessage message) {
+    static boolean supports(PeerMessage message) {
         return message instanceof PeerMessage.Cell
                 || message instanceof PeerMessage.Batch
                 || message instanceof PeerMessage.Ping
@@ -43,7 +43,7 @@
     }
 
     /** True when the bytes begin as such a frame does: with a small number. */
-    static boolean begins(byte[] bytes) {
+    static boolean isCellFrame(byte[] bytes) {
         return bytes.length > 0 && bytes[0] >= 0 && bytes[0] < Kind.KINDS.length;
     }
 
@@ -58,7 +58,7 @@
                 pack(packer, cell);
             } else {
                 packer.packInt(Kind.BATCH.ordinal());
-                packAll(packer, ((PeerMessage.Batch) message).messages());
+                packCells(packer, ((PeerMessage.Batch) message).messages());
             }
             return packer.toByteArray();
         } catch (IOException e) {
@@ -66,7 +66,7 @@
         }
     }
 
-    private static void packAll(MessageBufferPacker packer, List<PeerMessage.Cell> cells)
+    private static void packCells(MessageBufferPacker packer, List<PeerMessage.Cell> cells)
             throws IOException {
         packer.packInt(cells.size());
         for (PeerMessage.Cell cell : cells) {
--- a/wire/src/main/java/org/boragegap/wire/FrameFilter.java
+++ b/wire/src/main/java/org/boragegap/wire/FrameFilter.java
@@ -16,14 +16,14 @@
  * the other connections go on.
  */
 final class FrameFilter extends BaseFilter {
-    static final int MOST_BYTES = 16 * 1024 * 1024;
+    static final int MAX_FRAME_BYTES = 16 * 1024 * 1024;
     private static final int HEADER_BYTES = Integer.BYTES;
     private static final Logger sLog = LogManager.getLogger(FrameFilter.class);
 
     private final PeerCodec mCodec;
 
     /** What was encoded last: a heartbeat goes to all peers, and is encoded once. */
-    private volatile Encoded mLast = new Encoded(null, new byte[0]);
+    private volatile Encoded mLastEncoded = new Encoded(null, new byte[0]);
 
     private record Encoded(PeerMessage message, byte[] bytes) {}
 
@@ -38,8 +38,8 @@
             return context.getStopAction(input);
         }
         int length = input.getInt(input.position());
-        if (length <= 0 || length > MOST_BYTES) {
-            return reject(context, "frame length " + length + " is not in 1.." + MOST_BYTES);
+        if (length <= 0 || length > MAX_FRAME_BYTES) {
+            return reject(context, "frame length " + length + " is not in 1.." + MAX_FRAME_BYTES);
         }
         if (input.remaining() < HEADER_BYTES + length) {
             return context.getStopAction(input);
@@ -78,13 +78,13 @@
     }
 
     private byte[] encode(PeerMessage message) throws IOException {
-        Encoded last = mLast;
+        Encoded last = mLastEncoded;
         if (last.message() == message) {
             return last.bytes();
         }
         try {
             byte[] bytes = mCodec.encode(message);
-            mLast = new Encoded(message, bytes);
+            mLastEncoded = new Encoded(message, bytes);
             return bytes;
         } catch (WireException e) {
             throw new IOException(e);
--- a/wire/src/main/java/org/boragegap/wire/PeerCodec.java
+++ b/wire/src/main/java/org/boragegap/wire/PeerCodec.java
@@ -22,7 +22,7 @@
  */
 public final class PeerCodec {
     /** Made when the first message comes that isn't about cells; a VM in a cell never needs it. */
-    private static final class Mapped {
+    private static final class MapperHolder {
         private static final ObjectMapper MAPPER = newMapper();
         private static final ObjectWriter WRITER = MAPPER.writerFor(PeerMessage.class);
         private static final ObjectReader READER = MAPPER.readerFor(PeerMessage.class);
@@ -42,14 +42,14 @@
     private static ObjectMapper newMapper() {
         ObjectMapper mapper = new ObjectMapper(new MessagePackFactory());
         mapper.registerModule(new Jdk8Module());
-        nameTypes(mapper, PeerMessage.class);
-        nameTypes(mapper, ClaimMessage.class);
-        nameTypes(mapper, Answer.class);
-        nameTypes(mapper, LoanMessage.class);
+        registerSubtypes(mapper, PeerMessage.class);
+        registerSubtypes(mapper, ClaimMessage.class);
+        registerSubtypes(mapper, Answer.class);
+        registerSubtypes(mapper, LoanMessage.class);
         return mapper;
     }
 
-    private static void nameTypes(ObjectMapper mapper, Class<?> sealedType) {
+    private static void registerSubtypes(ObjectMapper mapper, Class<?> sealedType) {
         mapper.addMixIn(sealedType, TypeByName.class);
         for (Class<?> type : sealedType.getPermittedSubclasses()) {
             mapper.registerSubtypes(new NamedType(type, type.getSimpleName()));
@@ -58,11 +58,11 @@
 
     /** Encodes a message. */
     public byte[] encode(PeerMessage message) throws WireException {
-        if (CellFrames.takes(message)) {
+        if (CellFrames.supports(message)) {
             return CellFrames.encode(message);
         }
         try {
-            return Mapped.WRITER.writeValueAsBytes(message);
+            return MapperHolder.WRITER.writeValueAsBytes(message);
         } catch (JsonProcessingException e) {
             throw new WireException("message can't be encoded", e);
         }
@@ -70,12 +70,12 @@
 
     /** Decodes a message. */
     public PeerMessage decode(byte[] bytes) throws WireException {
-        if (CellFrames.begins(bytes)) {
+        if (CellFrames.isCellFrame(bytes)) {
             return CellFrames.decode(bytes);
         }
         try {
             checkLengths(bytes);
-            PeerMessage message = Mapped.READER.readValue(bytes);
+            PeerMessage message = MapperHolder.READER.readValue(bytes);
             if (message == null) {
                 throw new WireException("frame holds no message", null);
             }
--- a/wire/src/main/java/org/boragegap/wire/PeerLink.java
+++ b/wire/src/main/java/org/boragegap/wire/PeerLink.java
@@ -24,33 +24,33 @@
  * all connections would grow with the square of the VMs, and be most of what idle ones say.
  */
 final class PeerLink {
-    private static final Attribute<PeerLink> sLink =
+    private static final Attribute<PeerLink> sLinkAttribute =
             Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("boragegap.peer-link");
 
     /** Least time between two pings, in ms: half of the silence that is borne after one. */
-    private static final long PING_EVERY_MS = 500;
+    private static final long PING_INTERVAL_MS = 500;
 
     /** Silence after a ping, in ms, after which the connection is closed; many round trips. */
-    private static final long PONG_WITHIN_MS = 1_000;
+    private static final long PONG_TIMEOUT_MS = 1_000;
 
-    private static final int MOST_WAITING = 10_000;
+    private static final int MAX_QUEUED_MESSAGES = 10_000;
 
     /** A connection not open by then, in ms, is tried anew; see the HTTP client for why. */
-    private static final long CONNECT_WITHIN_MS = 400;
+    private static final long CONNECT_TIMEOUT_MS = 400;
 
     private final String mAddress;
     private final TCPNIOTransport mTransport;
     private final PeerListener mListener;
-    private final Deque<PeerMessage> mWaiting = new ArrayDeque<>();
-    private final Map<Long, PeerMessage.Forward> mUnanswered = new HashMap<>();
+    private final Deque<PeerMessage> mQueued = new ArrayDeque<>();
+    private final Map<Long, PeerMessage.Forward> mPendingForwards = new HashMap<>();
     private Connection<?> mConnection;
     private boolean mConnecting;
-    private long mConnectingSinceMs;
-    private long mPingedMs;
-    private boolean mPongDue;
+    private long mConnectStartMs;
+    private long mLastPingMs;
+    private boolean mAwaitingPong;
 
     /** Something was sent since the peer was last heard on this connection. */
-    private boolean mUnheard;
+    private boolean mSentSinceLastReceive;
 
     PeerLink(String address, TCPNIOTransport transport, PeerListener listener) {
         mAddress = address;
@@ -60,7 +60,7 @@
 
     /** The link of an outgoing connection. */
     static Optional<PeerLink> of(Connection<?> connection) {
-        return Optional.ofNullable(sLink.get(connection));
+        return Optional.ofNullable(sLinkAttribute.get(connection));
     }
 
     synchronized boolean owns(Connection<?> connection) {
@@ -74,8 +74,8 @@
                 write(message);
                 return;
             }
-            if (mWaiting.size() < MOST_WAITING) {
-                mWaiting.add(message);
+            if (mQueued.size() < MAX_QUEUED_MESSAGES) {
+                mQueued.add(message);
             } else {
                 dropped = true;
             }
@@ -88,9 +88,9 @@
 
     private void write(PeerMessage message) {
         if (message instanceof PeerMessage.Forward forward) {
-            mUnanswered.put(forward.forwardId(), forward);
+            mPendingForwards.put(forward.forwardId(), forward);
         }
-        mUnheard = true;
+        mSentSinceLastReceive = true;
         mConnection.write(message);
     }
 
@@ -99,9 +99,9 @@
             return;
         }
         mConnecting = true;
-        mConnectingSinceMs = System.nanoTime() / 1_000_000;
+        mConnectStartMs = System.nanoTime() / 1_000_000;
         mTransport.connect(
-                PeerTransport.parse(mAddress),
+                PeerTransport.parseAddress(mAddress),
                 new EmptyCompletionHandler<>() {
                     @Override
                     @SuppressWarnings("rawtypes")
@@ -118,11 +118,11 @@
 
     private synchronized void onConnected(Connection<?> connection) {
         mConnecting = false;
-        sLink.set(connection, this);
+        sLinkAttribute.set(connection, this);
         mConnection = connection;
-        mPongDue = false;
-        while (!mWaiting.isEmpty()) {
-            write(mWaiting.poll());
+        mAwaitingPong = false;
+        while (!mQueued.isEmpty()) {
+            write(mQueued.poll());
         }
     }
 
@@ -130,20 +130,20 @@
         List<PeerMessage> lost;
         synchronized (this) {
             mConnecting = false;
-            lost = new ArrayList<>(mWaiting);
-            mWaiting.clear();
+            lost = new ArrayList<>(mQueued);
+            mQueued.clear();
         }
         for (PeerMessage message : lost) {
             mListener.onLost(mAddress, message, false);
         }
     }
 
-    void onAnswer(PeerMessage message) {
+    void onReply(PeerMessage message) {
         synchronized (this) {
-            mPongDue = false;
-            mUnheard = false;
+            mAwaitingPong = false;
+            mSentSinceLastReceive = false;
             if (message instanceof PeerMessage.ForwardAnswer answer) {
-                mUnanswered.remove(answer.forwardId());
+                mPendingForwards.remove(answer.forwardId());
             }
         }
         if (!(message instanceof PeerMessage.Pong)) {
@@ -155,29 +155,29 @@
         List<PeerMessage> lost;
         synchronized (this) {
             mConnection = null;
-            lost = new ArrayList<>(mUnanswered.values());
-            mUnanswered.clear();
+            lost = new ArrayList<>(mPendingForwards.values());
+            mPendingForwards.clear();
         }
         for (PeerMessage message : lost) {
             mListener.onLost(mAddress, message, true);
         }
     }
 
-    private boolean pingIsDue(long nowMs) {
-        boolean inUse = mConnection != null && mUnheard;
-        return inUse && !mPongDue && nowMs - mPingedMs >= PING_EVERY_MS;
+    private boolean isPingDue(long nowMs) {
+        boolean inUse = mConnection != null && mSentSinceLastReceive;
+        return inUse && !mAwaitingPong && nowMs - mLastPingMs >= PING_INTERVAL_MS;
     }
 
     void probe(long nowMs) {
         Connection<?> silent = null;
         boolean stuck;
         synchronized (this) {
-            stuck = mConnecting && nowMs - mConnectingSinceMs > CONNECT_WITHIN_MS;
-            if (mConnection != null && mPongDue && nowMs - mPingedMs > PONG_WITHIN_MS) {
+            stuck = mConnecting && nowMs - mConnectStartMs > CONNECT_TIMEOUT_MS;
+            if (mConnection != null && mAwaitingPong && nowMs - mLastPingMs > PONG_TIMEOUT_MS) {
                 silent = mConnection;
-            } else if (pingIsDue(nowMs)) {
-                mPongDue = true;
-                mPingedMs = nowMs;
+            } else if (isPingDue(nowMs)) {
+                mAwaitingPong = true;
+                mLastPingMs = nowMs;
                 mConnection.write(new PeerMessage.Ping());
             }
         }
--- a/wire/src/main/java/org/boragegap/wire/PeerTransport.java
+++ b/wire/src/main/java/org/boragegap/wire/PeerTransport.java
@@ -29,7 +29,8 @@
     private static final Logger sLog = LogManager.getLogger(PeerTransport.class);
 
     /** On a VM with one core a second thread only adds wake-ups. */
-    private static final int SELECTORS = Math.min(2, Runtime.getRuntime().availableProcessors());
+    private static final int SELECTOR_THREADS =
+            Math.min(2, Runtime.getRuntime().availableProcessors());
 
     private final String mBindHost;
     private final int mBindPort;
@@ -39,7 +40,7 @@
     private final Map<String, PeerLink> mLinks = new ConcurrentHashMap<>();
     private final Map<Long, Connection<?>> mInbound = new ConcurrentHashMap<>();
     private final Map<Connection<?>, Long> mInboundIds = new ConcurrentHashMap<>();
-    private final AtomicLong mNextInbound = new AtomicLong(1);
+    private final AtomicLong mNextInboundId = new AtomicLong(1);
 
     private PeerTransport(String host, int port, PeerListener listener) {
         mBindHost = host;
@@ -55,9 +56,9 @@
                         .setSelectorThreadPoolConfig(
                                 ThreadPoolConfig.defaultConfig()
                                         .setPoolName("peer")
-                                        .setCorePoolSize(SELECTORS)
-                                        .setMaxPoolSize(SELECTORS))
-                        .setSelectorRunnersCount(SELECTORS)
+                                        .setCorePoolSize(SELECTOR_THREADS)
+                                        .setMaxPoolSize(SELECTOR_THREADS))
+                        .setSelectorRunnersCount(SELECTOR_THREADS)
                         .setTcpNoDelay(true)
                         .setReuseAddress(true)
                         .setProcessor(chain.build())
@@ -100,7 +101,7 @@
     }
 
     /** Sends back over the connection on which a message came; false if it is closed. */
-    public boolean answer(long link, PeerMessage message) {
+    public boolean reply(long link, PeerMessage message) {
         Connection<?> connection = mInbound.get(link);
         if (connection == null || !connection.isOpen()) {
             return false;
@@ -115,7 +116,7 @@
     }
 
     /** Reads {@code host:port}. */
-    public static InetSocketAddress parse(String address) {
+    public static InetSocketAddress parseAddress(String address) {
         int colon = address.lastIndexOf(':');
         String host = address.substring(0, colon);
         return new InetSocketAddress(host, Integer.parseInt(address.substring(colon + 1)));
@@ -124,7 +125,7 @@
     private final class MessageFilter extends BaseFilter {
         @Override
         public NextAction handleAccept(FilterChainContext context) throws IOException {
-            long id = mNextInbound.getAndIncrement();
+            long id = mNextInboundId.getAndIncrement();
             mInbound.put(id, context.getConnection());
             mInboundIds.put(context.getConnection(), id);
             return context.getInvokeAction();
@@ -136,7 +137,7 @@
             Connection<?> connection = context.getConnection();
             Long inbound = mInboundIds.get(connection);
             if (inbound == null) {
-                PeerLink.of(connection).ifPresent(link -> onAnswer(link, connection, message));
+                PeerLink.of(connection).ifPresent(link -> onReply(link, connection, message));
             } else if (message instanceof PeerMessage.Ping) {
                 connection.write(new PeerMessage.Pong());
             } else {
@@ -145,9 +146,9 @@
             return context.getStopAction();
         }
 
-        private void onAnswer(PeerLink link, Connection<?> connection, PeerMessage message) {
+        private void onReply(PeerLink link, Connection<?> connection, PeerMessage message) {
             if (link.owns(connection)) {
-                link.onAnswer(message);
+                link.onReply(message);
             }
         }
 
--- a/wire/src/main/java/org/boragegap/wire/RecordFields.java
+++ b/wire/src/main/java/org/boragegap/wire/RecordFields.java
@@ -95,13 +95,13 @@
                 unpacker.unpackInt(),
                 unpacker.unpackInt(),
                 unpacker.unpackLong(),
-                unpackNumbers(unpacker),
+                unpackIntegers(unpacker),
                 unpackOptional(unpacker),
                 unpackOptional(unpacker),
                 unpacker.unpackInt());
     }
 
-    private static List<Integer> unpackNumbers(MessageUnpacker unpacker) throws IOException {
+    private static List<Integer> unpackIntegers(MessageUnpacker unpacker) throws IOException {
         int count = unpacker.unpackInt();
         List<Integer> numbers = new ArrayList<>();
         for (int i = 0; i < count; i++) {
@@ -143,12 +143,12 @@
                 unpacker.unpackInt(),
                 unpacker.unpackInt(),
                 unpacker.unpackInt(),
-                unpackTexts(unpacker),
+                unpackStrings(unpacker),
                 unpacker.unpackBoolean(),
                 unpacker.unpackBoolean());
     }
 
-    private static Set<String> unpackTexts(MessageUnpacker unpacker) throws IOException {
+    private static Set<String> unpackStrings(MessageUnpacker unpacker) throws IOException {
         int count = unpacker.unpackInt();
         Set<String> texts = new HashSet<>();
         for (int i = 0; i < count; i++) {
--- a/wire/src/main/java/org/boragegap/wire/VerdictFields.java
+++ b/wire/src/main/java/org/boragegap/wire/VerdictFields.java
@@ -9,32 +9,32 @@
 enum VerdictFields {
     COMPLETED {
         @Override
-        Verdict read(MessageUnpacker unpacker) {
+        Verdict unpackFields(MessageUnpacker unpacker) {
             return new Verdict.Completed();
         }
     },
     FAILED {
         @Override
-        Verdict read(MessageUnpacker unpacker) throws IOException {
+        Verdict unpackFields(MessageUnpacker unpacker) throws IOException {
             return new Verdict.Failed(unpacker.unpackString());
         }
     },
     DECLINED {
         @Override
-        Verdict read(MessageUnpacker unpacker) throws IOException {
+        Verdict unpackFields(MessageUnpacker unpacker) throws IOException {
             return new Verdict.Declined(unpacker.unpackString(), unpacker.unpackLong());
         }
     },
     IN_DOUBT {
         @Override
-        Verdict read(MessageUnpacker unpacker) throws IOException {
+        Verdict unpackFields(MessageUnpacker unpacker) throws IOException {
             return new Verdict.InDoubt(unpacker.unpackString());
         }
     };
 
     private static final VerdictFields[] ALL = values();
 
-    abstract Verdict read(MessageUnpacker unpacker) throws IOException;
+    abstract Verdict unpackFields(MessageUnpacker unpacker) throws IOException;
 
     static void pack(MessagePacker packer, Verdict verdict) throws IOException {
         if (verdict instanceof Verdict.Completed) {
@@ -54,6 +54,6 @@
         if (number < 0 || number >= ALL.length) {
             throw new IOException("no such verdict: " + number);
         }
-        return ALL[number].read(unpacker);
+        return ALL[number].unpackFields(unpacker);
     }
 }
--- a/wire/src/test/java/org/boragegap/wire/PeerCodecProperties.java
+++ b/wire/src/test/java/org/boragegap/wire/PeerCodecProperties.java
@@ -33,12 +33,12 @@
 final class PeerCodecProperties {
     private final PeerCodec mCodec = PeerCodec.create();
 
-    private void assertSurvives(PeerMessage message) throws WireException {
+    private void assertRoundTrips(PeerMessage message) throws WireException {
         assertThat(mCodec.decode(mCodec.encode(message))).isEqualTo(message);
     }
 
     @Property(tries = 200, seed = "1")
-    void claimMessagesSurvive(
+    void claimMessagesRoundTrip(
             @ForAll long high, @ForAll long low, @ForAll long uid, @ForAll boolean complete)
             throws WireException {
         Member member = new Member("127.0.0.1:1", low);
@@ -57,23 +57,23 @@
                         new ClaimMessage.Fetch(uid, low),
                         new ClaimMessage.Claims(uid, low, 0, 1, List.of(claim)));
         for (ClaimMessage message : messages) {
-            assertSurvives(new PeerMessage.Claims(member, message));
+            assertRoundTrips(new PeerMessage.Claims(member, message));
         }
     }
 
     @Property(tries = 200, seed = "2")
-    void loanMessagesSurvive(@ForAll int count, @ForAll long id) throws WireException {
+    void loanMessagesRoundTrip(@ForAll int count, @ForAll long id) throws WireException {
         Resources need = new Resources(count, count, count);
         LoanMessage.Line line = new LoanMessage.Line(id, "t:1", need, count, id);
-        assertSurvives(new PeerMessage.Loans("a:1", new LoanMessage.Ask("s", need, count)));
-        assertSurvives(new PeerMessage.Loans("a:1", new LoanMessage.Given("s", List.of(line))));
+        assertRoundTrips(new PeerMessage.Loans("a:1", new LoanMessage.Ask("s", need, count)));
+        assertRoundTrips(new PeerMessage.Loans("a:1", new LoanMessage.Given("s", List.of(line))));
         LoanMessage.Return back = new LoanMessage.Return(id, count, 0);
-        assertSurvives(new PeerMessage.Loans("a:1", new LoanMessage.Back(List.of(back))));
-        assertSurvives(new PeerMessage.Loans("a:1", new LoanMessage.Recall("s", count)));
+        assertRoundTrips(new PeerMessage.Loans("a:1", new LoanMessage.Back(List.of(back))));
+        assertRoundTrips(new PeerMessage.Loans("a:1", new LoanMessage.Recall("s", count)));
     }
 
     @Property(tries = 200, seed = "4")
-    void messagesAboutCellsSurvive(
+    void cellMessagesRoundTrip(
             @ForAll long number, @ForAll int count, @ForAll boolean flag, @ForAll String text)
             throws WireException {
         ClockReading clock = new ClockReading(number, -number);
@@ -105,22 +105,22 @@
         List<PeerMessage.Cell> cells =
                 messages.stream().map(one -> new PeerMessage.Cell("h:1", count, one)).toList();
         for (PeerMessage.Cell cell : cells) {
-            assertSurvives(cell);
+            assertRoundTrips(cell);
         }
-        assertSurvives(new PeerMessage.Batch(cells));
+        assertRoundTrips(new PeerMessage.Batch(cells));
     }
 
     @Example
-    void everyMessageAboutCellsHasAForm() {
+    void everyCellMessageHasOneEncoding() {
         for (Class<?> type : CellMessage.class.getPermittedSubclasses()) {
             long forms =
-                    Arrays.stream(CellFields.values()).filter(fields -> fields.isOf(type)).count();
+                    Arrays.stream(CellFields.values()).filter(fields -> fields.isFor(type)).count();
             assertWithMessage(type.getSimpleName()).that(forms).isEqualTo(1);
         }
     }
 
     @Property(tries = 200, seed = "5")
-    void aFrameThatEndsTooEarlyIsAnError(@ForAll @IntRange(min = 1, max = 20) int missing)
+    void truncatedFrameIsRejected(@ForAll @IntRange(min = 1, max = 20) int missing)
             throws WireException {
         CellMessage leaving = new CellMessage.Withdraw("00000000000000a1");
         byte[] whole = mCodec.encode(new PeerMessage.Cell("127.0.0.1:7720", 3, leaving));
@@ -129,7 +129,7 @@
     }
 
     @Property(tries = 2_000, seed = "3")
-    void otherBytesAreAnErrorAndNothingElse(@ForAll @Size(max = 200) byte[] bytes) {
+    void arbitraryBytesCauseOnlyWireExceptions(@ForAll @Size(max = 200) byte[] bytes) {
         try {
             mCodec.decode(bytes);
         } catch (WireException e) {
--- a/wire/src/test/java/org/boragegap/wire/PeerTransportTest.java
+++ b/wire/src/test/java/org/boragegap/wire/PeerTransportTest.java
@@ -32,7 +32,7 @@
     /** The system chooses one as the listening begins, so that none can take it before. */
     private static final int ANY_PORT = 0;
 
-    private static final long PATIENCE_S = 10;
+    private static final long TIMEOUT_S = 10;
 
     private final BlockingQueue<PeerMessage> mReceived = new LinkedBlockingQueue<>();
     private final BlockingQueue<Boolean> mLost = new LinkedBlockingQueue<>();
@@ -46,7 +46,7 @@
             mReceived.add(message);
             if (message instanceof PeerMessage.Forward forward) {
                 Answer answer = new Answer.Complete(List.of("r"));
-                mServer.answer(link, new PeerMessage.ForwardAnswer(forward.forwardId(), answer));
+                mServer.reply(link, new PeerMessage.ForwardAnswer(forward.forwardId(), answer));
             }
         }
 
@@ -85,7 +85,7 @@
     }
 
     private PeerMessage receive() throws InterruptedException {
-        PeerMessage message = mReceived.poll(PATIENCE_S, TimeUnit.SECONDS);
+        PeerMessage message = mReceived.poll(TIMEOUT_S, TimeUnit.SECONDS);
         assertWithMessage("a message").that(message).isNotNull();
         return message;
     }
@@ -93,7 +93,7 @@
     @Nested
     final class Messages {
         @Test
-        void aForwardIsAnsweredOverItsOwnConnection() throws Exception {
+        void forwardIsAnsweredOverTheSameConnection() throws Exception {
             mClient.send(mAddress, forward(5));
             assertThat(receive()).isEqualTo(forward(5));
             assertThat(receive())
@@ -101,46 +101,46 @@
         }
 
         @Test
-        void whatCannotBeSentIsReportedAsUnsent() throws Exception {
+        void undeliverableMessageIsReportedAsUnsent() throws Exception {
             mClient.send(HOST + ":" + closedPort(), forward(6));
-            assertThat(mLost.poll(PATIENCE_S, TimeUnit.SECONDS)).isFalse();
+            assertThat(mLost.poll(TIMEOUT_S, TimeUnit.SECONDS)).isFalse();
         }
     }
 
     @Nested
-    final class HostileFrames {
+    final class MalformedFrames {
         /**
          * Something that isn't a peer connects and sends garbage: lengths that lie, frames cut
          * short, bytes that are no message. Its connection ends; others are untouched.
          */
         @Test
-        void garbageEndsOnlyItsOwnConnection() throws Exception {
+        void malformedFrameClosesOnlyItsOwnConnection() throws Exception {
             mClient.send(mAddress, forward(1));
             receive();
             receive();
             Random random = new Random(4);
             for (int length : new int[] {-1, 0, Integer.MAX_VALUE, 64}) {
-                sendGarbage(length, random);
+                sendMalformedFrame(length, random);
             }
             mClient.send(mAddress, forward(2));
             assertThat(receive()).isEqualTo(forward(2));
         }
 
-        private void sendGarbage(int length, Random random) throws IOException {
+        private void sendMalformedFrame(int length, Random random) throws IOException {
             byte[] bytes = new byte[64];
             random.nextBytes(bytes);
-            try (Socket socket = new Socket(HOST, PeerTransport.parse(mAddress).getPort())) {
-                socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(PATIENCE_S));
+            try (Socket socket = new Socket(HOST, PeerTransport.parseAddress(mAddress).getPort())) {
+                socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(TIMEOUT_S));
                 DataOutputStream out = new DataOutputStream(socket.getOutputStream());
                 out.writeInt(length);
                 out.write(bytes);
                 out.flush();
-                int read = readOrEnd(socket);
+                int read = readByteOrEof(socket);
                 assertWithMessage("length %s", length).that(read).isEqualTo(-1);
             }
         }
 
-        private int readOrEnd(Socket socket) {
+        private int readByteOrEof(Socket socket) {
             try {
                 return socket.getInputStream().read();
             } catch (IOException e) {
@@ -157,7 +157,7 @@
          * the peer was heard after the last message has nothing to lose, and is left alone.
          */
         @Test
-        void aConnectionWithoutAnythingUnansweredIsNotPinged() throws Exception {
+        void connectionWithNothingUnansweredIsNotPinged() throws Exception {
             try (ServerSocket peer = new ServerSocket(0, 8, InetAddress.getByName(HOST))) {
                 PeerTransport client = PeerTransport.create(HOST, ANY_PORT, new Listener());
                 client.start();
@@ -168,8 +168,8 @@
                 client.probe(1_000);
                 byte[] ping = in.readNBytes(in.readInt());
                 assertThat(PeerCodec.create().decode(ping)).isEqualTo(new PeerMessage.Ping());
-                answer(socket, new PeerMessage.Pong());
-                answer(socket, new PeerMessage.ForwardAnswer(6, new Answer.Complete(List.of())));
+                reply(socket, new PeerMessage.Pong());
+                reply(socket, new PeerMessage.ForwardAnswer(6, new Answer.Complete(List.of())));
                 receive();
                 client.probe(2_000);
                 client.probe(9_000);
@@ -180,7 +180,7 @@
             }
         }
 
-        private void answer(Socket socket, PeerMessage message) throws Exception {
+        private void reply(Socket socket, PeerMessage message) throws Exception {
             byte[] bytes = PeerCodec.create().encode(message);
             DataOutputStream out = new DataOutputStream(socket.getOutputStream());
             out.writeInt(bytes.length);
@@ -190,14 +190,14 @@
     }
 
     @Nested
-    final class SilentConnections {
+    final class UnresponsiveConnections {
         /**
          * Something between two VMs has lost track of their connection: it stays open and nothing
          * comes back. The forward that waits on it is reported as lost, and the next message goes
          * over a new connection.
          */
         @Test
-        void aConnectionWithoutPongsIsGivenUp() throws Exception {
+        void connectionWithoutPongIsClosed() throws Exception {
             try (ServerSocket silent = new ServerSocket(0, 8, InetAddress.getByName(HOST))) {
                 String address = HOST + ":" + silent.getLocalPort();
                 mClient.send(address, forward(9));
@@ -206,7 +206,7 @@
                 mClient.probe(1_000);
                 assertThat(mLost).isEmpty();
                 mClient.probe(3_001);
-                assertThat(mLost.poll(PATIENCE_S, TimeUnit.SECONDS)).isTrue();
+                assertThat(mLost.poll(TIMEOUT_S, TimeUnit.SECONDS)).isTrue();
                 mClient.send(
                         address,
                         new PeerMessage.Claims(new Member("a:1", 1), new ClaimMessage.Join()));
