--- a/http/src/main/java/org/boragegap/http/ConnectionPool.java
+++ b/http/src/main/java/org/boragegap/http/ConnectionPool.java
@@ -7,10 +7,10 @@
 import org.glassfish.grizzly.Connection;
 
 /**
- * Idle connections to one address and a count of all of them.
+ * The idle connections to one address, and the number of all connections to it.
  *
- * <p>An idle connection may have gone silent for good, and a request written to it would be lost.
- * Only one that worked a moment ago is used again.
+ * <p>An idle connection may be broken without either end having closed it, and a request written to
+ * it would be lost. Therefore, only connections that were used very recently are reused.
  */
 final class ConnectionPool {
     private static final long MAX_IDLE_MS = 2_000;
@@ -21,8 +21,8 @@
     private final Deque<Idle> mIdle = new ArrayDeque<>();
     private int mConnectionCount;
 
-    ConnectionPool(int most) {
-        mMaxConnections = most;
+    ConnectionPool(int maxConnections) {
+        mMaxConnections = maxConnections;
     }
 
     synchronized Connection<?> takeIdle(long nowMs) {
--- a/http/src/main/java/org/boragegap/http/HttpCall.java
+++ b/http/src/main/java/org/boragegap/http/HttpCall.java
@@ -5,16 +5,16 @@
 import java.util.function.Consumer;
 
 /**
- * One HTTP request to be sent.
+ * An HTTP request to be sent by {@link HttpClient}.
  *
  * @param address {@code host:port}
  * @param method HTTP method
  * @param path path and query
- * @param headers further headers, by name
+ * @param headers additional headers, by name
  * @param body request body, may be empty
- * @param sendByMs monotonic milliseconds after which it must not be sent any more
- * @param timeoutMs how long the response is waited for
- * @param onResult takes the result, once
+ * @param sendByMs monotonic time in milliseconds after which the request must not be sent
+ * @param timeoutMs how long to wait for the response once the request is sent, in milliseconds
+ * @param onResult receives the result, exactly once
  */
 public record HttpCall(
         String address,
@@ -26,14 +26,14 @@
         long timeoutMs,
         Consumer<HttpResult> onResult) {
 
-    /** A GET without a time by which it has to be sent. */
+    /** Creates a GET request without a send deadline. */
     public static HttpCall get(
             String address, String path, long timeoutMs, Consumer<HttpResult> done) {
         return new HttpCall(
                 address, "GET", path, Map.of(), new byte[0], Long.MAX_VALUE, timeoutMs, done);
     }
 
-    /** A POST without a time by which it has to be sent. */
+    /** Creates a POST request without a send deadline. */
     public static HttpCall post(
             String address, String path, String body, long timeoutMs, Consumer<HttpResult> done) {
         byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
--- a/http/src/main/java/org/boragegap/http/HttpClient.java
+++ b/http/src/main/java/org/boragegap/http/HttpClient.java
@@ -33,36 +33,41 @@
 /**
  * Sends HTTP requests over pooled connections, one request at a time on each.
  *
- * <p>It tells apart what was surely not sent from what may have been: nothing is ever sent again
- * here.
+ * <p>The result distinguishes requests that were certainly not sent from those that may have been.
+ * The client never retries a request.
  */
 public final class HttpClient {
     private static final Logger sLog = LogManager.getLogger(HttpClient.class);
 
-    /** On a VM with one core a second thread only adds wake-ups. */
+    /** One thread on a VM with a single core, where a second one only adds wake-ups. */
     private static final int SELECTOR_THREADS =
             Math.min(2, Runtime.getRuntime().availableProcessors());
 
-    /** How often calls are looked at that may be overdue, in ms. */
+    /** Interval between checks for overdue calls, in ms. */
     private static final long SWEEP_INTERVAL_MS = 100;
 
     /**
-     * The same while no call with a short timeout was sent lately, in ms: a VM that only keeps in
-     * touch with the store needs no more, and each look is a wake-up.
+     * Interval between checks for overdue calls while no call with a short timeout was sent
+     * recently, in ms. It is enough for a VM that only polls the store, and each check is a
+     * wake-up.
      */
     private static final long IDLE_SWEEP_INTERVAL_MS = 250;
 
-    /** A timeout is short below this, in ms: noticed a quarter of a second late, it is doubled. */
+    /**
+     * Timeouts below this value count as short, in ms: expiry noticed a quarter of a second late
+     * would lengthen them by half or more, and double one of 250 ms.
+     */
     private static final long SHORT_TIMEOUT_MS = 500;
 
-    /** How long a call with a short timeout makes for frequent looks, in ms. */
+    /** How long checks stay frequent after a call with a short timeout, in ms. */
     private static final long FREQUENT_SWEEP_PERIOD_MS = 1_000;
 
     /**
-     * A connection not open by then, in ms, is given up and closed: many round trips. One that was
-     * begun while the other side was cut off would otherwise hold its request for a second after
-     * the cut, and its place among the connections to that address for seven: after a cut of some
-     * seconds all places were taken, and nothing could be sent to targets that were back.
+     * Connections that take longer than this to open are closed, in ms; it allows for many round
+     * trips. Without it, a connect attempt that starts while the remote host is unreachable delays
+     * its request by a second after the host is back, and occupies a slot of the pool for seven:
+     * after an outage of a few seconds all slots were occupied, and nothing could be sent to
+     * targets that were reachable again.
      */
     private static final long CONNECT_TIMEOUT_MS = 400;
 
@@ -80,8 +85,8 @@
                         return thread;
                     });
 
-    private HttpClient(int connectionsPerAddress) {
-        mMaxConnectionsPerAddress = connectionsPerAddress;
+    private HttpClient(int maxConnectionsPerAddress) {
+        mMaxConnectionsPerAddress = maxConnectionsPerAddress;
         FilterChainBuilder chain = FilterChainBuilder.stateless();
         chain.add(new TransportFilter());
         chain.add(new HttpClientFilter());
@@ -101,15 +106,15 @@
     }
 
     /**
-     * Makes a caller.
+     * Creates a client.
      *
-     * @param connectionsPerAddress most connections to one address
+     * @param maxConnectionsPerAddress maximum number of connections to one address
      */
-    public static HttpClient create(int connectionsPerAddress) {
-        return new HttpClient(connectionsPerAddress);
+    public static HttpClient create(int maxConnectionsPerAddress) {
+        return new HttpClient(maxConnectionsPerAddress);
     }
 
-    /** Starts its threads. */
+    /** Starts the I/O threads and the check for overdue calls. */
     public void start() throws IOException {
         mTransport.start();
         scheduleSweep();
@@ -121,16 +126,21 @@
         try {
             mTransport.shutdownNow();
         } catch (IOException e) {
-            sLog.warn("http caller did not stop cleanly: {}", e.getMessage());
+            sLog.warn("HTTP client did not stop cleanly: {}", e.getMessage());
         }
     }
 
-    /** Monotonic milliseconds, as used for the times of a call. */
+    /**
+     * Returns the monotonic clock, in milliseconds, on which {@link HttpCall#sendByMs} is based.
+     */
     public static long nowMs() {
         return System.nanoTime() / 1_000_000;
     }
 
-    /** Sends a request; the result comes to the call's consumer on another thread. */
+    /**
+     * Sends a request. The call's consumer receives the result on any thread, which may be the
+     * calling one if the request can't be sent.
+     */
     public void send(HttpCall call) {
         long nowMs = nowMs();
         if (call.timeoutMs() < SHORT_TIMEOUT_MS) {
@@ -186,8 +196,8 @@
     }
 
     /**
-     * The time by which it must be sent is checked here, as late as possible: this process may have
-     * been paused since the decision, unaware.
+     * Writes the request. The send deadline is checked here, as late as possible, because the
+     * process may have been paused without noticing since the decision to send.
      */
     private void write(Connection<?> connection, HttpExchange exchange) {
         HttpCall call = exchange.call();
@@ -232,8 +242,8 @@
     }
 
     private void scheduleSweep() {
-        boolean frequent = nowMs() - mLastShortCallMs <= FREQUENT_SWEEP_PERIOD_MS;
-        long delayMs = frequent ? SWEEP_INTERVAL_MS : IDLE_SWEEP_INTERVAL_MS;
+        boolean recentShortCall = nowMs() - mLastShortCallMs <= FREQUENT_SWEEP_PERIOD_MS;
+        long delayMs = recentShortCall ? SWEEP_INTERVAL_MS : IDLE_SWEEP_INTERVAL_MS;
         mSweeper.schedule(this::sweepAndReschedule, delayMs, TimeUnit.MILLISECONDS);
     }
 
@@ -241,7 +251,7 @@
         try {
             sweep();
         } catch (RuntimeException e) {
-            sLog.error("overdue calls can't be looked at, the next look may", e);
+            sLog.error("check for overdue calls failed, it will run again", e);
         }
         scheduleSweep();
     }
--- a/http/src/main/java/org/boragegap/http/HttpEndpoint.java
+++ b/http/src/main/java/org/boragegap/http/HttpEndpoint.java
@@ -20,11 +20,11 @@
 import org.glassfish.grizzly.strategies.SameThreadIOStrategy;
 import org.glassfish.grizzly.threadpool.ThreadPoolConfig;
 
-/** An HTTP listener that reads whole bodies without blocking and hands them to one handler. */
+/** An HTTP listener that reads whole bodies without blocking and passes them to one handler. */
 public final class HttpEndpoint {
     private static final Logger sLog = LogManager.getLogger(HttpEndpoint.class);
 
-    /** On a VM with one core a second thread only adds wake-ups. */
+    /** One thread on a VM with a single core, where a second one only adds wake-ups. */
     private static final int SELECTOR_THREADS =
             Math.min(2, Runtime.getRuntime().availableProcessors());
 
@@ -35,7 +35,7 @@
     private final HttpServer mServer = new HttpServer();
     private final NetworkListener mListener;
 
-    private HttpEndpoint(String name, String host, int port, int mostBytes, Handler handler) {
+    private HttpEndpoint(String name, String host, int port, int maxBodyBytes, Handler handler) {
         mListener = new NetworkListener(name, host, port);
         mListener.setMaxHttpHeaderSize(MAX_HEADER_BYTES);
         TCPNIOTransport transport = mListener.getTransport();
@@ -49,25 +49,25 @@
         transport.setTcpNoDelay(true);
         mServer.addListener(mListener);
         mServer.getServerConfiguration()
-                .addHttpHandler(new BodyBufferingHandler(mostBytes, handler), "/");
+                .addHttpHandler(new BodyBufferingHandler(maxBodyBytes, handler), "/");
         mServer.getServerConfiguration().setJmxEnabled(false);
     }
 
-    /** Takes requests. */
+    /** Handles requests. */
     public interface Handler extends Consumer<IncomingRequest> {}
 
     /**
-     * Makes an endpoint.
+     * Creates an endpoint.
      *
-     * @param name used for its threads
-     * @param host address to listen on
+     * @param name name of its threads
+     * @param host host name or IP address to listen on
      * @param port port to listen on; 0 lets the system choose one
-     * @param mostBytes largest body that is taken
-     * @param handler takes each request; must not block
+     * @param maxBodyBytes largest accepted body, in bytes
+     * @param handler handles each request; must not block
      */
     public static HttpEndpoint create(
-            String name, String host, int port, int mostBytes, Handler handler) {
-        return new HttpEndpoint(name, host, port, mostBytes, handler);
+            String name, String host, int port, int maxBodyBytes, Handler handler) {
+        return new HttpEndpoint(name, host, port, maxBodyBytes, handler);
     }
 
     /** Starts listening. */
@@ -75,12 +75,17 @@
         mServer.start();
     }
 
-    /** Port that it listens on once it is started. */
+    /** Returns the port it listens on, once started. */
     public int port() {
         return mListener.getPort();
     }
 
-    /** Stops listening, and closes connections when what they carry is out or time is over. */
+    /**
+     * Stops listening and closes each connection once its responses are sent, or when the time is
+     * over.
+     *
+     * @param boundMs time allowed for pending responses, in milliseconds
+     */
     public void drain(long boundMs) {
         try {
             mServer.shutdown(boundMs, TimeUnit.MILLISECONDS)
@@ -88,7 +93,7 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } catch (ExecutionException | TimeoutException e) {
-            sLog.warn("not all responses were out within {} ms", boundMs);
+            sLog.warn("not all responses were sent within {} ms", boundMs);
         }
     }
 
@@ -101,8 +106,8 @@
         private final int mMaxBodyBytes;
         private final Handler mHandler;
 
-        private BodyBufferingHandler(int mostBytes, Handler handler) {
-            mMaxBodyBytes = mostBytes;
+        private BodyBufferingHandler(int maxBodyBytes, Handler handler) {
+            mMaxBodyBytes = maxBodyBytes;
             mHandler = handler;
         }
 
@@ -165,7 +170,7 @@
 
             @Override
             public void onError(Throwable cause) {
-                sLog.debug("request body can't be read: {}", cause.getMessage());
+                sLog.debug("can't read request body: {}", cause.getMessage());
                 mResponse.resume();
             }
 
--- a/http/src/main/java/org/boragegap/http/HttpExchange.java
+++ b/http/src/main/java/org/boragegap/http/HttpExchange.java
@@ -2,7 +2,7 @@
 
 import java.util.concurrent.atomic.AtomicReference;
 
-/** One request under way; its result is told once. */
+/** A request in progress; its result is reported once. */
 final class HttpExchange {
     private enum State {
         WAITING,
@@ -24,29 +24,32 @@
         return mCall;
     }
 
-    /** Marks it as being sent; false when it was given up before. */
+    /** Marks the request as being sent; returns false if it has failed before. */
     boolean markSent(long nowMs) {
         mSentMs = nowMs;
         return mState.compareAndSet(State.WAITING, State.SENT);
     }
 
-    /** True when its connection takes too long to open. */
-    boolean isConnectTimedOut(long nowMs, long mostMs) {
-        return mState.get() == State.WAITING && nowMs - mCreatedMs > mostMs;
+    /** Returns true if the connection for this request takes too long to open. */
+    boolean isConnectTimedOut(long nowMs, long limitMs) {
+        return mState.get() == State.WAITING && nowMs - mCreatedMs > limitMs;
     }
 
     boolean isResponseOverdue(long nowMs) {
         return nowMs - mSentMs > mCall.timeoutMs();
     }
 
-    /** Gives it up unsent; does nothing if it is being sent, since then it may arrive. */
+    /**
+     * Ends the exchange as not sent. Does nothing if the request is being sent, since it may then
+     * arrive.
+     */
     void failUnsent(String reason) {
         if (mState.compareAndSet(State.WAITING, State.ENDED)) {
             mCall.onResult().accept(new HttpResult.NotSent(reason));
         }
     }
 
-    /** Ends it after it was sent. */
+    /** Ends the exchange after the request was sent. */
     void complete(HttpResult result) {
         if (mState.compareAndSet(State.SENT, State.ENDED)) {
             mCall.onResult().accept(result);
--- a/http/src/main/java/org/boragegap/http/HttpResult.java
+++ b/http/src/main/java/org/boragegap/http/HttpResult.java
@@ -2,34 +2,34 @@
 
 import java.nio.charset.StandardCharsets;
 
-/** How one HTTP exchange ended. */
+/** The result of an HTTP exchange. */
 public sealed interface HttpResult {
 
     /**
-     * A whole response came.
+     * A complete response was received.
      *
      * @param status HTTP status code
-     * @param body the body
-     * @param entityTag its entity tag; empty for none
+     * @param body the response body
+     * @param entityTag the response's entity tag; empty if there is none
      */
     record Response(int status, byte[] body, String entityTag) implements HttpResult {
-        /** The body as UTF-8. */
+        /** Returns the body decoded as UTF-8. */
         public String text() {
             return new String(body, StandardCharsets.UTF_8);
         }
     }
 
     /**
-     * Not one byte was sent.
+     * The request was not sent, not even in part.
      *
-     * @param reason one line
+     * @param reason the cause, on one line
      */
     record NotSent(String reason) implements HttpResult {}
 
     /**
-     * Some or all of the request was sent and no whole response came.
+     * Some or all of the request was sent, and no complete response was received.
      *
-     * @param reason one line
+     * @param reason the cause, on one line
      */
     record Lost(String reason) implements HttpResult {}
 }
--- a/http/src/main/java/org/boragegap/http/IncomingRequest.java
+++ b/http/src/main/java/org/boragegap/http/IncomingRequest.java
@@ -13,14 +13,14 @@
 import org.glassfish.grizzly.http.server.Request;
 import org.glassfish.grizzly.http.server.Response;
 
-/** One request that came in, with its whole body; it is replied to once, on any thread. */
+/** A received request with its whole body. It is replied to once, on any thread. */
 public final class IncomingRequest {
     private final Request mRequest;
     private final Response mResponse;
     private final byte[] mBody;
     private final AtomicBoolean mReplied = new AtomicBoolean();
 
-    /** Takes back what {@link #onClosedBeforeReply} has asked for. */
+    /** Removes the close listener that {@link #onClosedBeforeReply} has added. */
     private volatile Runnable mRemoveCloseListener = () -> {};
 
     IncomingRequest(Request request, Response response, byte[] body) {
@@ -29,66 +29,67 @@
         mBody = body;
     }
 
-    /** HTTP method. */
+    /** Returns the HTTP method. */
     public String method() {
         return mRequest.getMethod().getMethodString();
     }
 
-    /** Path without the query. */
+    /** Returns the path without the query. */
     public String path() {
         return mRequest.getRequestURI();
     }
 
-    /** A query parameter. */
+    /** Returns a query parameter. */
     public Optional<String> query(String name) {
         return Optional.ofNullable(mRequest.getParameter(name));
     }
 
-    /** A header. */
+    /** Returns a header. */
     public Optional<String> header(String name) {
         return Optional.ofNullable(mRequest.getHeader(name));
     }
 
-    /** The body. */
+    /** Returns the body. */
     public byte[] body() {
         return mBody;
     }
 
     /**
-     * Calls back when the caller closes its connection before the reply; to be called once. The
-     * reply ends this: else a connection that a caller keeps open held on to each request that came
-     * over it, memory grew with each, and replies looked through all of them. Reading is switched
-     * on for that: the server doesn't read from a connection that waits for a reply, and would not
-     * see the end.
+     * Registers a callback for the case that the client closes its connection before the reply; to
+     * be called at most once. The reply removes the close listener: otherwise, a connection that a
+     * client keeps open would retain every request received over it, so that memory grows with each
+     * request and each reply searches a longer list of listeners. Reading is enabled on the
+     * connection because the server does not read from one that waits for a reply, and would not
+     * notice that it is closed.
      */
     @SuppressWarnings({"rawtypes", "unchecked", "deprecation"})
-    public void onClosedBeforeReply(Runnable left) {
+    public void onClosedBeforeReply(Runnable callback) {
         Connection<?> connection = mRequest.getContext().getConnection();
         CloseListener<Closeable, ICloseType> listener =
                 (closeable, type) -> {
                     if (!mReplied.get()) {
-                        left.run();
+                        callback.run();
                     }
                 };
         connection.addCloseListener(listener);
         mRemoveCloseListener = () -> connection.removeCloseListener(listener);
         if (mReplied.get()) {
-            // Replied to by another thread meanwhile, which found nothing to forget yet.
+            // Another thread has replied in the meantime and found no listener to remove.
             mRemoveCloseListener.run();
         }
         try {
             connection.enableIOEvent(IOEvent.READ);
         } catch (IOException e) {
-            left.run();
+            callback.run();
         }
     }
 
-    /** Asks for the connection to be closed after the reply; to be called before it. */
+    /** Requests that the connection be closed after the reply; to be called before the reply. */
     public void closeAfterReply() {
         mResponse.setHeader("Connection", "close");
     }
 
-    /** The body as UTF-8. */
+    /** Returns the body decoded as UTF-8. */
     public String text() {
         return new String(mBody, StandardCharsets.UTF_8);
     }
@@ -103,7 +104,7 @@
         reply(status, "application/octet-stream", Map.of(), bytes);
     }
 
-    /** Replies; only the first reply counts. */
+    /** Replies; only the first reply takes effect. */
     public void reply(int status, String contentType, Map<String, String> headers, String text) {
         reply(status, contentType, headers, text.getBytes(StandardCharsets.UTF_8));
     }
@@ -120,7 +121,7 @@
         try {
             mResponse.getOutputStream().write(bytes);
         } catch (IOException e) {
-            // The caller has gone away; there is nobody to tell.
+            // The client has closed the connection, so the failure can't be reported to it.
             mRequest.getContext().getConnection().closeSilently();
         }
         mResponse.resume();
--- a/http/src/main/java/org/boragegap/http/package-info.java
+++ b/http/src/main/java/org/boragegap/http/package-info.java
@@ -1,2 +1,2 @@
-/** A small HTTP client and server on Grizzly; the client never sends anything twice. */
+/** A small HTTP client and server based on Grizzly; the client never sends a request twice. */
 package org.boragegap.http;
--- a/http/src/test/java/org/boragegap/http/HttpClientTest.java
+++ b/http/src/test/java/org/boragegap/http/HttpClientTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Nested;
 import org.junit.jupiter.api.Test;
 
-/** What the client says of a request whose connection failed it, over real sockets. */
+/** Tests which result the client reports when a connection fails, over real sockets. */
 final class HttpClientTest {
     private static final String HOST = "127.0.0.1";
     private static final long TIMEOUT_S = 10;
@@ -50,7 +50,7 @@
         return new ServerSocket(0, 8, InetAddress.getByName(HOST));
     }
 
-    /** Reads a whole request with the body {@code {}}. */
+    /** Reads a whole request whose body is {@code {}}. */
     private static void readRequest(Socket socket) throws IOException {
         InputStream in = socket.getInputStream();
         StringBuilder text = new StringBuilder();
@@ -91,9 +91,9 @@
         }
 
         /**
-         * A connection that has worked goes silent: the request is written and nothing comes back.
-         * It is lost when its time is over, is not sent again, and the next request goes over a new
-         * connection.
+         * A reused connection stops responding: the request is written and no response arrives. The
+         * request must be reported as lost after its timeout and not be sent again, and the next
+         * request must use a new connection.
          */
         @Test
         void requestOnUnresponsiveConnectionIsLostAndSentOnce() throws Exception {
@@ -146,7 +146,7 @@
             }
         }
 
-        /** The process was paused between the decision and the send, and wakes too late. */
+        /** The process was paused between the decision and the send, and resumes too late. */
         @Test
         void requestPastItsSendDeadlineIsNotSent() throws Exception {
             try (ServerSocket server = server()) {
--- a/http/src/test/java/org/boragegap/http/HttpEndpointTest.java
+++ b/http/src/test/java/org/boragegap/http/HttpEndpointTest.java
@@ -12,12 +12,15 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What callers see on their connections. */
+/** Tests how the endpoint treats connections that clients keep open. */
 final class HttpEndpointTest {
     private static final String HOST = "127.0.0.1";
     private static final int BODY_BYTES = 1_024;
 
-    /** The system chooses one as the endpoint begins to listen, so that none can take it before. */
+    /**
+     * Lets the system choose a free port when the endpoint starts to listen, so that no other
+     * process can take the port first.
+     */
     private static final int ANY_PORT = 0;
 
     private static final int TIMEOUT_MS = 10_000;
@@ -26,8 +29,9 @@
             "GET / HTTP/1.1\r\nHost: a\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
 
     /**
-     * A process stops as planned while a caller keeps a connection open. The caller gets its whole
-     * answer, and then the connection ends, so that its next request goes to another process.
+     * A process shuts down while a client keeps a connection open. The client must receive the
+     * complete response before the connection is closed, so that its next request goes to another
+     * process.
      */
     @Test
     void connectionIsClosedAfterReplyOnRequest() throws Exception {
@@ -46,21 +50,21 @@
             socket.setSoTimeout(TIMEOUT_MS);
             socket.getOutputStream().write(REQUEST);
             InputStream in = socket.getInputStream();
-            String answer = new String(in.readAllBytes(), StandardCharsets.UTF_8);
-            assertThat(answer).startsWith("HTTP/1.1 200");
-            assertThat(answer).endsWith("{}");
+            String response = new String(in.readAllBytes(), StandardCharsets.UTF_8);
+            assertThat(response).startsWith("HTTP/1.1 200");
+            assertThat(response).endsWith("{}");
         }
         endpoint.stop();
     }
 
     /**
-     * Callers keep their connections open for many requests. An entry VM's memory grew with each of
-     * them, and its replies took longer and longer: what was to be told if the caller left before
-     * its reply was kept until the connection ended.
+     * Guards against a memory leak: clients keep connections open for many requests, and the close
+     * listener of each request used to stay registered until the connection was closed. An entry
+     * VM's memory grew with each request, and its replies became slower and slower.
      */
     @Test
     void closeListenerIsRemovedByTheReply() throws Exception {
-        List<WeakReference<Object>> kept = Collections.synchronizedList(new ArrayList<>());
+        List<WeakReference<Object>> listeners = Collections.synchronizedList(new ArrayList<>());
         HttpEndpoint endpoint =
                 HttpEndpoint.create(
                         "test",
@@ -68,9 +72,9 @@
                         ANY_PORT,
                         BODY_BYTES,
                         in -> {
-                            Object told = new Object();
-                            kept.add(new WeakReference<>(told));
-                            in.onClosedBeforeReply(told::hashCode);
+                            Object listener = new Object();
+                            listeners.add(new WeakReference<>(listener));
+                            in.onClosedBeforeReply(listener::hashCode);
                             in.reply(200, "{}");
                         });
         endpoint.start();
@@ -81,9 +85,9 @@
                 readResponse(socket.getInputStream());
             }
             System.gc();
-            long alive = kept.stream().filter(reference -> reference.get() != null).count();
-            // The last request may still be held by the thread that replied to it.
-            assertThat(kept).hasSize(REQUESTS);
+            long alive = listeners.stream().filter(reference -> reference.get() != null).count();
+            // The thread that replied to the last request may still reference it.
+            assertThat(listeners).hasSize(REQUESTS);
             assertThat(alive).isAtMost(1);
         }
         endpoint.stop();
