--- a/wire/src/main/java/org/boragegap/wire/CellFields.java
+++ b/wire/src/main/java/org/boragegap/wire/CellFields.java
@@ -11,8 +11,9 @@
 import org.msgpack.core.MessageUnpacker;
 
 /**
- * The fields of each message about a cell, in the order in which they stand in a frame: its number,
- * then its components in the order of the record.
+ * The encoding of each {@link CellMessage}, with one constant for each type: the number of the
+ * type, then the components in the order in which the record declares them. The number is the
+ * ordinal of the constant, so the order of the constants is part of the wire format.
  */
 enum CellFields {
     OFFER(CellMessage.Offer.class) {
@@ -64,10 +65,10 @@
     HEARTBEAT(CellMessage.Heartbeat.class) {
         @Override
         void packFields(MessagePacker packer, CellMessage message) throws IOException {
-            CellMessage.Heartbeat leading = (CellMessage.Heartbeat) message;
-            packer.packLong(leading.fence());
-            RecordFields.packClock(packer, leading.sent());
-            packer.packLong(leading.periodMs());
+            CellMessage.Heartbeat heartbeat = (CellMessage.Heartbeat) message;
+            packer.packLong(heartbeat.fence());
+            RecordFields.packClock(packer, heartbeat.sent());
+            packer.packLong(heartbeat.periodMs());
         }
 
         @Override
@@ -92,8 +93,8 @@
     CONTROLLER_MISSING(CellMessage.ControllerMissing.class) {
         @Override
         void packFields(MessagePacker packer, CellMessage message) throws IOException {
-            CellMessage.ControllerMissing missing = (CellMessage.ControllerMissing) message;
-            packer.packLong(missing.fence()).packInt(missing.strength());
+            CellMessage.ControllerMissing notice = (CellMessage.ControllerMissing) message;
+            packer.packLong(notice.fence()).packInt(notice.strength());
         }
 
         @Override
@@ -104,10 +105,10 @@
     TARGETS(CellMessage.Targets.class) {
         @Override
         void packFields(MessagePacker packer, CellMessage message) throws IOException {
-            CellMessage.Targets told = (CellMessage.Targets) message;
-            packer.packLong(told.fence()).packLong(told.version());
-            packer.packInt(told.targets().size());
-            for (TargetInfo target : told.targets()) {
+            CellMessage.Targets list = (CellMessage.Targets) message;
+            packer.packLong(list.fence()).packLong(list.version());
+            packer.packInt(list.targets().size());
+            for (TargetInfo target : list.targets()) {
                 RecordFields.packTarget(packer, target);
             }
         }
@@ -143,7 +144,7 @@
         private static CrashEvidence evidence(int number) throws IOException {
             CrashEvidence[] all = CrashEvidence.values();
             if (number < 0 || number >= all.length) {
-                throw new IOException("no such evidence of a crash: " + number);
+                throw new IOException("unknown crash evidence: " + number);
             }
             return all[number];
         }
@@ -151,12 +152,12 @@
     HEARTBEAT_REPLY(CellMessage.HeartbeatReply.class) {
         @Override
         void packFields(MessagePacker packer, CellMessage message) throws IOException {
-            CellMessage.HeartbeatReply following = (CellMessage.HeartbeatReply) message;
-            packer.packLong(following.fence());
-            RecordFields.packClock(packer, following.heartbeat());
-            packer.packBoolean(following.storeSilent()).packBoolean(following.sawNoOutage());
-            packer.packLong(following.lastOwnFence()).packLong(following.endedAgoMs());
-            packer.packLong(following.targetsVersion());
+            CellMessage.HeartbeatReply reply = (CellMessage.HeartbeatReply) message;
+            packer.packLong(reply.fence());
+            RecordFields.packClock(packer, reply.heartbeat());
+            packer.packBoolean(reply.storeSilent()).packBoolean(reply.sawNoOutage());
+            packer.packLong(reply.lastOwnFence()).packLong(reply.endedAgoMs());
+            packer.packLong(reply.targetsVersion());
         }
 
         @Override
@@ -180,30 +181,30 @@
         mType = type;
     }
 
-    /** True when these are the fields of that type of message. */
+    /** Returns true if this constant encodes messages of the given type. */
     boolean isFor(Class<?> type) {
         return mType == type;
     }
 
-    /** The fields of a message. */
+    /** Returns the constant that encodes a message. */
     static CellFields of(CellMessage message) {
         for (CellFields fields : ALL) {
             if (fields.isFor(message.getClass())) {
                 return fields;
             }
         }
-        throw new IllegalArgumentException("no such message: " + message.getClass());
+        throw new IllegalArgumentException("unknown cell message: " + message.getClass());
     }
 
-    /** The fields of the message that has this number in frames. */
+    /** Returns the constant for the number that stands for a message type in a frame. */
     static CellFields of(int number) throws WireException {
         if (number < 0 || number >= ALL.length) {
-            throw new WireException("no such message about a cell: " + number, null);
+            throw new WireException("unknown cell message type: " + number, null);
         }
         return ALL[number];
     }
 
-    /** Writes the number and the fields. */
+    /** Writes the number of the message type and the fields. */
     final void pack(MessagePacker packer, CellMessage message) throws IOException {
         packer.packInt(ordinal());
         packFields(packer, message);
@@ -211,6 +212,6 @@
 
     abstract void packFields(MessagePacker packer, CellMessage message) throws IOException;
 
-    /** Reads the fields; the number was read before. */
+    /** Reads the fields that follow the number of the message type. */
     abstract CellMessage unpack(MessageUnpacker unpacker) throws IOException;
 }
--- a/wire/src/main/java/org/boragegap/wire/CellFrames.java
+++ b/wire/src/main/java/org/boragegap/wire/CellFrames.java
@@ -10,12 +10,12 @@
 import org.msgpack.core.MessageUnpacker;
 
 /**
- * Frames about cells, field by field: a sequence of MessagePack values, of which the first names
- * the kind of frame. They are most of what entry VMs say to each other, so nothing of them is found
- * by reflection: a process that has just started would spend its first moments on that.
+ * Encodes frames about cells field by field, as a sequence of MessagePack values whose first value
+ * is the kind of the frame. Most frames between entry VMs are of these kinds, so they are encoded
+ * without reflection, on which a process would otherwise spend its first moments after the start.
  */
 final class CellFrames {
-    /** Kinds of frames, by the number that stands first. */
+    /** Kinds of frames. The ordinal is the first value of a frame, so the order must not change. */
     private enum Kind {
         PING,
         PONG,
@@ -26,7 +26,7 @@
 
         static Kind of(int number) throws WireException {
             if (number < 0 || number >= KINDS.length) {
-                throw new WireException("no such kind of frame: " + number, null);
+                throw new WireException("unknown kind of frame: " + number, null);
             }
             return KINDS[number];
         }
@@ -34,7 +34,7 @@
 
     private CellFrames() {}
 
-    /** True when the message has such a frame. */
+    /** Returns true if this class encodes the message. */
     static boolean supports(PeerMessage message) {
         return message instanceof PeerMessage.Cell
                 || message instanceof PeerMessage.Batch
@@ -42,7 +42,7 @@
                 || message instanceof PeerMessage.Pong;
     }
 
-    /** True when the bytes begin as such a frame does: with a small number. */
+    /** Returns true if the frame starts with the number of a {@link Kind}. */
     static boolean isCellFrame(byte[] bytes) {
         return bytes.length > 0 && bytes[0] >= 0 && bytes[0] < Kind.KINDS.length;
     }
@@ -62,7 +62,7 @@
             }
             return packer.toByteArray();
         } catch (IOException e) {
-            throw new WireException("message can't be encoded", e);
+            throw new WireException("can't encode message", e);
         }
     }
 
@@ -87,14 +87,14 @@
                 return unpack(unpacker);
             }
         } catch (IOException | MessagePackException | IllegalArgumentException e) {
-            // MessagePack reports a frame that ends too early by an unchecked exception.
-            throw new WireException("frame can't be decoded", e);
+            // MessagePack reports a truncated frame by an unchecked exception.
+            throw new WireException("can't decode frame", e);
         }
     }
 
     /**
-     * Guards against a frame that announces more than it holds: a string of two gigabytes would be
-     * set aside for a few bytes. Skipping through sets nothing aside.
+     * Rejects a frame that declares more data than it contains. Otherwise, a frame of a few bytes
+     * could cause the allocation of a string of two gigabytes. Skipping values allocates nothing.
      */
     private static void checkLengths(byte[] bytes) throws IOException {
         try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(bytes)) {
--- a/wire/src/main/java/org/boragegap/wire/FrameFilter.java
+++ b/wire/src/main/java/org/boragegap/wire/FrameFilter.java
@@ -10,10 +10,10 @@
 import org.glassfish.grizzly.memory.MemoryManager;
 
 /**
- * Frames on a byte stream: a length of four bytes, then that many bytes of MessagePack.
+ * Splits a byte stream into frames: a length of four bytes, then that many bytes of MessagePack.
  *
- * <p>A frame that lies about its length or can't be decoded ends its connection; the process and
- * the other connections go on.
+ * <p>A frame with an invalid length or undecodable content closes its connection. The process and
+ * the other connections are not affected.
  */
 final class FrameFilter extends BaseFilter {
     static final int MAX_FRAME_BYTES = 16 * 1024 * 1024;
@@ -22,7 +22,7 @@
 
     private final PeerCodec mCodec;
 
-    /** What was encoded last: a heartbeat goes to all peers, and is encoded once. */
+    /** The most recently encoded message, so that a heartbeat sent to all peers is encoded once. */
     private volatile Encoded mLastEncoded = new Encoded(null, new byte[0]);
 
     private record Encoded(PeerMessage message, byte[] bytes) {}
--- a/wire/src/main/java/org/boragegap/wire/PeerCodec.java
+++ b/wire/src/main/java/org/boragegap/wire/PeerCodec.java
@@ -17,24 +17,24 @@
 import org.msgpack.jackson.dataformat.MessagePackFactory;
 
 /**
- * Turns peer messages into MessagePack and back. Frames about cells have a form of their own, see
- * {@link CellFrames}; all others are maps, as the mapper writes records.
+ * Encodes peer messages as MessagePack and decodes them. Messages about cells have an encoding of
+ * their own, see {@link CellFrames}; all others are maps, as Jackson writes records.
  */
 public final class PeerCodec {
-    /** Made when the first message comes that isn't about cells; a VM in a cell never needs it. */
+    /** Initialized with the first message that isn't about cells; a VM in a cell never needs it. */
     private static final class MapperHolder {
         private static final ObjectMapper MAPPER = newMapper();
         private static final ObjectWriter WRITER = MAPPER.writerFor(PeerMessage.class);
         private static final ObjectReader READER = MAPPER.readerFor(PeerMessage.class);
     }
 
-    /** Names the type of a message by its simple class name in the field {@code t}. */
+    /** Identifies the type of a message by its simple class name in the field {@code t}. */
     @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "t")
     private interface TypeByName {}
 
     private PeerCodec() {}
 
-    /** Makes a codec; it may be shared by threads. */
+    /** Creates a codec, which is thread-safe. */
     public static PeerCodec create() {
         return new PeerCodec();
     }
@@ -64,7 +64,7 @@
         try {
             return MapperHolder.WRITER.writeValueAsBytes(message);
         } catch (JsonProcessingException e) {
-            throw new WireException("message can't be encoded", e);
+            throw new WireException("can't encode message", e);
         }
     }
 
@@ -77,19 +77,19 @@
             checkLengths(bytes);
             PeerMessage message = MapperHolder.READER.readValue(bytes);
             if (message == null) {
-                throw new WireException("frame holds no message", null);
+                throw new WireException("frame contains no message", null);
             }
             return message;
         } catch (IOException | MessagePackException e) {
-            // MessagePack reports a frame that ends too early by an unchecked exception.
-            throw new WireException("frame can't be decoded", e);
+            // MessagePack reports a truncated frame by an unchecked exception.
+            throw new WireException("can't decode frame", e);
         }
     }
 
     /**
-     * Guards against a frame that announces more than it holds: the mapper would set aside up to
-     * two gigabytes for a string of a few bytes, and the process would run out of memory. Skipping
-     * through the frame sets nothing aside and ends at the first length that lies.
+     * Rejects a frame that declares more data than it contains. Otherwise, the mapper would
+     * allocate up to two gigabytes for a string of a few bytes, and the process would run out of
+     * memory. Skipping through the frame allocates nothing and fails at the first invalid length.
      */
     private static void checkLengths(byte[] bytes) throws IOException {
         try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(bytes)) {
--- a/wire/src/main/java/org/boragegap/wire/PeerLink.java
+++ b/wire/src/main/java/org/boragegap/wire/PeerLink.java
@@ -14,28 +14,36 @@
 import org.glassfish.grizzly.nio.transport.TCPNIOTransport;
 
 /**
- * The outgoing connection to one peer, opened when first needed.
+ * The outgoing connection to one peer, opened on first use.
  *
- * <p>A connection can go silent for good while new ones work: something between the two ends has
- * lost track of it. It shows as pings without a pong; the connection is closed then, what waited on
- * it is reported lost, and the next message opens a new one.
+ * <p>A connection can stop carrying data for good while new ones work, for instance when a device
+ * between the two ends has dropped its state. This is detected by a ping without a pong: the
+ * connection is closed, the forwards that wait for an answer on it are reported as lost, and the
+ * next message opens a new connection.
  *
- * <p>Only a connection on which something was sent that nothing has followed is pinged: pings on
- * all connections would grow with the square of the VMs, and be most of what idle ones say.
+ * <p>A connection is pinged only if nothing was received on it since the last message was sent.
+ * Pings on all connections would grow with the square of the number of VMs, and would be most of
+ * the traffic of idle VMs.
  */
 final class PeerLink {
     private static final Attribute<PeerLink> sLinkAttribute =
             Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("boragegap.peer-link");
 
-    /** Least time between two pings, in ms: half of the silence that is borne after one. */
+    /** Minimum time between two pings, in ms; half of {@link #PONG_TIMEOUT_MS}. */
     private static final long PING_INTERVAL_MS = 500;
 
-    /** Silence after a ping, in ms, after which the connection is closed; many round trips. */
+    /**
+     * Time after a ping without any message from the peer, in ms, after which the connection is
+     * closed; it allows for many round trips.
+     */
     private static final long PONG_TIMEOUT_MS = 1_000;
 
     private static final int MAX_QUEUED_MESSAGES = 10_000;
 
-    /** A connection not open by then, in ms, is tried anew; see the HTTP client for why. */
+    /**
+     * Time after which a pending connect is given up, in ms, and the next message starts a new one;
+     * see the constant of the same name in {@code HttpClient} for the reason.
+     */
     private static final long CONNECT_TIMEOUT_MS = 400;
 
     private final String mAddress;
@@ -49,7 +57,7 @@
     private long mLastPingMs;
     private boolean mAwaitingPong;
 
-    /** Something was sent since the peer was last heard on this connection. */
+    /** True if a message was sent since the last one was received on this connection. */
     private boolean mSentSinceLastReceive;
 
     PeerLink(String address, TCPNIOTransport transport, PeerListener listener) {
@@ -58,7 +66,7 @@
         mListener = listener;
     }
 
-    /** The link of an outgoing connection. */
+    /** Returns the link that opened a connection; empty for an inbound connection. */
     static Optional<PeerLink> of(Connection<?> connection) {
         return Optional.ofNullable(sLinkAttribute.get(connection));
     }
@@ -169,23 +177,23 @@
     }
 
     void probe(long nowMs) {
-        Connection<?> silent = null;
-        boolean stuck;
+        Connection<?> unresponsive = null;
+        boolean connectTimedOut;
         synchronized (this) {
-            stuck = mConnecting && nowMs - mConnectStartMs > CONNECT_TIMEOUT_MS;
+            connectTimedOut = mConnecting && nowMs - mConnectStartMs > CONNECT_TIMEOUT_MS;
             if (mConnection != null && mAwaitingPong && nowMs - mLastPingMs > PONG_TIMEOUT_MS) {
-                silent = mConnection;
+                unresponsive = mConnection;
             } else if (isPingDue(nowMs)) {
                 mAwaitingPong = true;
                 mLastPingMs = nowMs;
                 mConnection.write(new PeerMessage.Ping());
             }
         }
-        if (stuck) {
+        if (connectTimedOut) {
             onConnectFailed();
         }
-        if (silent != null) {
-            silent.closeSilently();
+        if (unresponsive != null) {
+            unresponsive.closeSilently();
         }
     }
 }
--- a/wire/src/main/java/org/boragegap/wire/PeerListener.java
+++ b/wire/src/main/java/org/boragegap/wire/PeerListener.java
@@ -1,11 +1,24 @@
 package org.boragegap.wire;
 
-/** Takes what peers send. */
+/** Receives messages from peers. */
 public interface PeerListener {
 
-    /** A message came over a connection. */
-    void onMessage(long link, PeerMessage message);
+    /**
+     * Called when a message has been received.
+     *
+     * @param connectionId the inbound connection, for {@link PeerTransport#reply}; 0 if the message
+     *     came over an outgoing connection
+     * @param message the message
+     */
+    void onMessage(long connectionId, PeerMessage message);
 
-    /** A message could not be sent, or its connection ended before an answer could come back. */
+    /**
+     * Called when a message could not be sent, or when its connection was closed before the answer
+     * was received.
+     *
+     * @param address peer address of the receiver
+     * @param message the message
+     * @param sent false if the message was certainly not sent
+     */
     void onLost(String address, PeerMessage message, boolean sent);
 }
--- a/wire/src/main/java/org/boragegap/wire/PeerMessage.java
+++ b/wire/src/main/java/org/boragegap/wire/PeerMessage.java
@@ -11,47 +11,47 @@
 import org.boragegap.core.job.SubmissionId;
 import org.boragegap.core.placement.LoanMessage;
 
-/** One frame between two entry VMs. */
+/** A message between two entry VMs, sent as one frame. */
 public sealed interface PeerMessage {
 
     /**
-     * About claims and views.
+     * A message about claims and views.
      *
      * @param from the sender
-     * @param message what it says
+     * @param message the content
      */
     record Claims(Member from, ClaimMessage message) implements PeerMessage {}
 
     /**
-     * About room on targets.
+     * A message about loans of capacity on targets.
      *
      * @param from peer address of the sender
-     * @param message what it says
+     * @param message the content
      */
     record Loans(String from, LoanMessage message) implements PeerMessage {}
 
     /**
-     * About a cell and its jobs.
+     * A message about a cell and its jobs.
      *
      * @param from peer address of the sender
      * @param cell number of the cell
-     * @param message what it says
+     * @param message the content
      */
     record Cell(String from, int cell, CellMessage message) implements PeerMessage {}
 
     /**
-     * What one VM has to say to another at one moment about several cells or jobs.
+     * Several messages about cells that one VM sends to another at the same time.
      *
-     * @param messages in the order in which they were said
+     * @param messages the messages, in the order in which they were sent
      */
     record Batch(List<Cell> messages) implements PeerMessage {}
 
     /**
-     * Hands a submission over; the answer comes back on the same connection.
+     * Forwards a submission; the answer is sent back on the same connection.
      *
-     * @param forwardId names the forward within the sender
+     * @param forwardId id of the forward, unique within the sender
      * @param submission the submission
-     * @param hops how often it was forwarded
+     * @param hops number of times it was forwarded
      */
     record Forward(long forwardId, Submission submission, int hops) implements PeerMessage {}
 
@@ -64,15 +64,15 @@
     record ForwardAnswer(long forwardId, Answer answer) implements PeerMessage {}
 
     /**
-     * Passes a cancellation on.
+     * Forwards a cancellation.
      *
      * @param id the submission
-     * @param hops how often it was forwarded
+     * @param hops number of times it was forwarded
      */
     record Cancel(SubmissionId id, int hops) implements PeerMessage {}
 
     /**
-     * Tells which version of the bundle the sender has in force; a receiver with a newer one
+     * States which version of the bundle is in force at the sender; a receiver with a newer one
      * answers with {@link BundleIs} on the same connection.
      *
      * @param version the version, 0 for none
@@ -80,32 +80,32 @@
     record BundleVersion(long version) implements PeerMessage {}
 
     /**
-     * Gives the bundle that the sender has in force.
+     * Contains the bundle that is in force at the sender.
      *
      * @param bundle the bundle
      */
     record BundleIs(Bundle bundle) implements PeerMessage {}
 
     /**
-     * Asks for the state of a submission.
+     * Requests the state of a submission.
      *
-     * @param questionId names the question within the sender
+     * @param questionId id of the request, unique within the sender
      * @param id the submission
      */
     record Ask(long questionId, SubmissionId id) implements PeerMessage {}
 
     /**
-     * Tells the state of a submission.
+     * Reports the state of a submission, in response to {@link Ask}.
      *
-     * @param questionId the question
+     * @param questionId id of the request
      * @param known whether the sender holds it
      * @param answer its answer, if it has one
      */
     record Told(long questionId, boolean known, Optional<Answer> answer) implements PeerMessage {}
 
-    /** Asks for a {@link Pong} on the same connection. */
+    /** Requests a {@link Pong} on the same connection. */
     record Ping() implements PeerMessage {}
 
-    /** Shows that the connection still works. */
+    /** Confirms that the connection works. */
     record Pong() implements PeerMessage {}
 }
--- a/wire/src/main/java/org/boragegap/wire/PeerTransport.java
+++ b/wire/src/main/java/org/boragegap/wire/PeerTransport.java
@@ -20,15 +20,15 @@
 import org.glassfish.grizzly.threadpool.ThreadPoolConfig;
 
 /**
- * Connections among entry VMs: one for each direction.
+ * Connections between entry VMs; each pair of VMs uses one connection for each direction.
  *
- * <p>An answer goes back over the connection on which the question came, so either side that loses
- * the connection knows that the answer will not come.
+ * <p>A reply is sent over the connection on which the request arrived, so a side that loses the
+ * connection knows that no reply will arrive.
  */
 public final class PeerTransport {
     private static final Logger sLog = LogManager.getLogger(PeerTransport.class);
 
-    /** On a VM with one core a second thread only adds wake-ups. */
+    /** One thread on a VM with a single core, where a second one only adds wake-ups. */
     private static final int SELECTOR_THREADS =
             Math.min(2, Runtime.getRuntime().availableProcessors());
 
@@ -65,7 +65,7 @@
                         .build();
     }
 
-    /** Makes a transport that will listen at the given address; port 0 lets the system choose. */
+    /** Creates a transport that will listen on an address; port 0 lets the system choose one. */
     public static PeerTransport create(String host, int port, PeerListener listener) {
         return new PeerTransport(host, port, listener);
     }
@@ -77,7 +77,7 @@
         mTransport.start();
     }
 
-    /** Port that it listens on once it is started. */
+    /** Returns the port it listens on, once started. */
     int port() {
         return mPort;
     }
@@ -91,7 +91,7 @@
         }
     }
 
-    /** Sends to the entry VM at a peer address; a failure is told to the listener. */
+    /** Sends a message to the entry VM at a peer address; a failure is reported to the listener. */
     public void send(String address, PeerMessage message) {
         mLinks.computeIfAbsent(address, this::newLink).send(message);
     }
@@ -100,9 +100,9 @@
         return new PeerLink(address, mTransport, mListener);
     }
 
-    /** Sends back over the connection on which a message came; false if it is closed. */
-    public boolean reply(long link, PeerMessage message) {
-        Connection<?> connection = mInbound.get(link);
+    /** Replies over the connection on which a message arrived; returns false if it is closed. */
+    public boolean reply(long connectionId, PeerMessage message) {
+        Connection<?> connection = mInbound.get(connectionId);
         if (connection == null || !connection.isOpen()) {
             return false;
         }
@@ -110,12 +110,12 @@
         return true;
     }
 
-    /** Checks all outgoing connections; to be called some times a second. */
+    /** Checks all outgoing connections; to be called several times a second. */
     public void probe(long nowMs) {
         mLinks.values().forEach(link -> link.probe(nowMs));
     }
 
-    /** Reads {@code host:port}. */
+    /** Parses {@code host:port}. */
     public static InetSocketAddress parseAddress(String address) {
         int colon = address.lastIndexOf(':');
         String host = address.substring(0, colon);
--- a/wire/src/main/java/org/boragegap/wire/RecordFields.java
+++ b/wire/src/main/java/org/boragegap/wire/RecordFields.java
@@ -15,8 +15,9 @@
 import org.msgpack.core.MessageUnpacker;
 
 /**
- * The fields of the records that messages about cells are made of, in the order of the record. A
- * list is its length, then its entries; an optional text is nil if there is none.
+ * Encodes the records that cell messages consist of: their components, in the order in which the
+ * record declares them. A list is written as its length followed by its elements, and an empty
+ * optional string as nil.
  */
 final class RecordFields {
     private RecordFields() {}
@@ -80,8 +81,8 @@
         packer.packInt(step.count()).packInt(step.cpuMillis()).packInt(step.memoryMb());
         packer.packInt(step.accelerators()).packLong(step.estimateMs());
         packer.packInt(step.dependsOn().size());
-        for (int before : step.dependsOn()) {
-            packer.packInt(before);
+        for (int dependency : step.dependsOn()) {
+            packer.packInt(dependency);
         }
         packOptional(packer, step.requiredLabel());
         packOptional(packer, step.preferredRack());
--- a/wire/src/main/java/org/boragegap/wire/VerdictFields.java
+++ b/wire/src/main/java/org/boragegap/wire/VerdictFields.java
@@ -5,7 +5,10 @@
 import org.msgpack.core.MessagePacker;
 import org.msgpack.core.MessageUnpacker;
 
-/** The fields of each verdict in a frame: its number, its reason, and what else it has. */
+/**
+ * The encoding of each verdict in a frame: the number of its type, then its components. The number
+ * is the ordinal of the constant, so the order of the constants is part of the wire format.
+ */
 enum VerdictFields {
     COMPLETED {
         @Override
@@ -52,7 +55,7 @@
     static Verdict unpack(MessageUnpacker unpacker) throws IOException {
         int number = unpacker.unpackInt();
         if (number < 0 || number >= ALL.length) {
-            throw new IOException("no such verdict: " + number);
+            throw new IOException("unknown verdict: " + number);
         }
         return ALL[number].unpackFields(unpacker);
     }
--- a/wire/src/main/java/org/boragegap/wire/WireException.java
+++ b/wire/src/main/java/org/boragegap/wire/WireException.java
@@ -1,10 +1,10 @@
 package org.boragegap.wire;
 
-/** A frame that can't be read or written. */
+/** Thrown if a message can't be encoded or a frame can't be decoded. */
 public final class WireException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    /** Makes an exception with one line that says what is wrong. */
+    /** Creates an exception with a message of one line. */
     public WireException(String message, Throwable cause) {
         super(message, cause);
     }
--- a/wire/src/main/java/org/boragegap/wire/package-info.java
+++ b/wire/src/main/java/org/boragegap/wire/package-info.java
@@ -1,2 +1,2 @@
-/** Frames and MessagePack codecs between the system's own processes. */
+/** Framing, MessagePack codecs and transport for messages between the system's own processes. */
 package org.boragegap.wire;
--- a/wire/src/test/java/org/boragegap/wire/PeerCodecProperties.java
+++ b/wire/src/test/java/org/boragegap/wire/PeerCodecProperties.java
@@ -29,7 +29,7 @@
 import org.boragegap.core.job.Resources;
 import org.boragegap.core.placement.LoanMessage;
 
-/** Peer messages survive the way to MessagePack and back; other bytes are one clear error. */
+/** Tests that peer messages round-trip through MessagePack and that other bytes are rejected. */
 final class PeerCodecProperties {
     private final PeerCodec mCodec = PeerCodec.create();
 
@@ -113,19 +113,19 @@
     @Example
     void everyCellMessageHasOneEncoding() {
         for (Class<?> type : CellMessage.class.getPermittedSubclasses()) {
-            long forms =
+            long encodings =
                     Arrays.stream(CellFields.values()).filter(fields -> fields.isFor(type)).count();
-            assertWithMessage(type.getSimpleName()).that(forms).isEqualTo(1);
+            assertWithMessage(type.getSimpleName()).that(encodings).isEqualTo(1);
         }
     }
 
     @Property(tries = 200, seed = "5")
     void truncatedFrameIsRejected(@ForAll @IntRange(min = 1, max = 20) int missing)
             throws WireException {
-        CellMessage leaving = new CellMessage.Withdraw("00000000000000a1");
-        byte[] whole = mCodec.encode(new PeerMessage.Cell("127.0.0.1:7720", 3, leaving));
-        byte[] part = Arrays.copyOf(whole, whole.length - missing);
-        assertThrows(WireException.class, () -> mCodec.decode(part));
+        CellMessage withdraw = new CellMessage.Withdraw("00000000000000a1");
+        byte[] frame = mCodec.encode(new PeerMessage.Cell("127.0.0.1:7720", 3, withdraw));
+        byte[] truncated = Arrays.copyOf(frame, frame.length - missing);
+        assertThrows(WireException.class, () -> mCodec.decode(truncated));
     }
 
     @Property(tries = 2_000, seed = "3")
--- a/wire/src/test/java/org/boragegap/wire/PeerTransportTest.java
+++ b/wire/src/test/java/org/boragegap/wire/PeerTransportTest.java
@@ -25,11 +25,14 @@
 import org.junit.jupiter.api.Nested;
 import org.junit.jupiter.api.Test;
 
-/** Connections among entry VMs, over real sockets. */
+/** Tests the connections between entry VMs, over real sockets. */
 final class PeerTransportTest {
     private static final String HOST = "127.0.0.1";
 
-    /** The system chooses one as the listening begins, so that none can take it before. */
+    /**
+     * Lets the system choose a free port when the transport starts to listen, so that no other
+     * process can take the port first.
+     */
     private static final int ANY_PORT = 0;
 
     private static final long TIMEOUT_S = 10;
@@ -42,11 +45,12 @@
 
     private final class Listener implements PeerListener {
         @Override
-        public void onMessage(long link, PeerMessage message) {
+        public void onMessage(long connectionId, PeerMessage message) {
             mReceived.add(message);
             if (message instanceof PeerMessage.Forward forward) {
                 Answer answer = new Answer.Complete(List.of("r"));
-                mServer.reply(link, new PeerMessage.ForwardAnswer(forward.forwardId(), answer));
+                mServer.reply(
+                        connectionId, new PeerMessage.ForwardAnswer(forward.forwardId(), answer));
             }
         }
 
@@ -110,8 +114,8 @@
     @Nested
     final class MalformedFrames {
         /**
-         * Something that isn't a peer connects and sends garbage: lengths that lie, frames cut
-         * short, bytes that are no message. Its connection ends; others are untouched.
+         * A client that isn't a peer sends random bytes, with an invalid frame length and with a
+         * valid one. Its connection must be closed; the others are not affected.
          */
         @Test
         void malformedFrameClosesOnlyItsOwnConnection() throws Exception {
@@ -152,9 +156,9 @@
     @Nested
     final class IdleConnections {
         /**
-         * Callers of a large deployment got late answers though its VMs had little to do: each
-         * pinged every other four times a second, and answered as many pings. A connection on which
-         * the peer was heard after the last message has nothing to lose, and is left alone.
+         * In a large deployment, answers were late although its VMs had little work: each VM pinged
+         * every other one four times a second, and answered as many pings. A connection needs no
+         * ping if something was received on it after the last message was sent.
          */
         @Test
         void connectionWithNothingUnansweredIsNotPinged() throws Exception {
@@ -192,16 +196,16 @@
     @Nested
     final class UnresponsiveConnections {
         /**
-         * Something between two VMs has lost track of their connection: it stays open and nothing
-         * comes back. The forward that waits on it is reported as lost, and the next message goes
-         * over a new connection.
+         * A device between two VMs has dropped the state of their connection, which stays open but
+         * delivers nothing. The pending forward must be reported as lost, and the next message must
+         * use a new connection.
          */
         @Test
         void connectionWithoutPongIsClosed() throws Exception {
-            try (ServerSocket silent = new ServerSocket(0, 8, InetAddress.getByName(HOST))) {
-                String address = HOST + ":" + silent.getLocalPort();
+            try (ServerSocket unresponsive = new ServerSocket(0, 8, InetAddress.getByName(HOST))) {
+                String address = HOST + ":" + unresponsive.getLocalPort();
                 mClient.send(address, forward(9));
-                Socket first = silent.accept();
+                Socket first = unresponsive.accept();
                 assertThat(first.getInputStream().read()).isAtLeast(0);
                 mClient.probe(1_000);
                 assertThat(mLost).isEmpty();
@@ -210,7 +214,7 @@
                 mClient.send(
                         address,
                         new PeerMessage.Claims(new Member("a:1", 1), new ClaimMessage.Join()));
-                Socket second = silent.accept();
+                Socket second = unresponsive.accept();
                 assertThat(second.getInputStream().read()).isAtLeast(0);
                 first.close();
                 second.close();
