--- a/http/src/test/java/org/boragegap/http/HttpClientTest.java
+++ b/http/src/test/java/org/boragegap/http/HttpClientTest.java
@@ -23,22 +23,22 @@
     private static final long TIMEOUT_S = 10;
     private static final String OK = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
 
-    private final HttpClient mCaller = HttpClient.create(2);
+    private final HttpClient mClient = HttpClient.create(2);
 
     @BeforeEach
     void start() throws IOException {
-        mCaller.start();
+        mClient.start();
     }
 
     @AfterEach
     void stop() {
-        mCaller.stop();
+        mClient.stop();
     }
 
     private CompletableFuture<HttpResult> post(ServerSocket server, long timeoutMs) {
         CompletableFuture<HttpResult> result = new CompletableFuture<>();
         String address = HOST + ":" + server.getLocalPort();
-        mCaller.send(HttpCall.post(address, "/x", "{}", timeoutMs, result::complete));
+        mClient.send(HttpCall.post(address, "/x", "{}", timeoutMs, result::complete));
         return result;
     }
 
@@ -153,7 +153,7 @@
                 CompletableFuture<HttpResult> result = new CompletableFuture<>();
                 String address = HOST + ":" + server.getLocalPort();
                 long past = HttpClient.nowMs() - 1;
-                mCaller.send(
+                mClient.send(
                         new HttpCall(
                                 address,
                                 "POST",
