--- a/entry/src/main/java/org/boragegap/entry/cell/ControlThread.java
+++ b/entry/src/main/java/org/boragegap/entry/cell/ControlThread.java
@@ -7,7 +7,7 @@
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 import org.boragegap.core.ClockReading;
-import org.boragegap.http.HttpCaller;
+import org.boragegap.http.HttpClient;
 
 /** The thread that owns the control state; other threads post events to it. */
 final class ControlThread {
@@ -65,7 +65,7 @@
     }
 
     static ClockReading clock() {
-        return new ClockReading(HttpCaller.nowMs(), System.currentTimeMillis());
+        return new ClockReading(HttpClient.nowMs(), System.currentTimeMillis());
     }
 
     /**
@@ -75,16 +75,16 @@
      * heartbeats and answers were missed. Counted from the end, there is always time for events.
      */
     private void run() {
-        long tickedMs = HttpCaller.nowMs();
+        long tickedMs = HttpClient.nowMs();
         while (!mStopped) {
             try {
-                long waitMs = tickedMs + mTickIntervalMs.getAsLong() - HttpCaller.nowMs();
+                long waitMs = tickedMs + mTickIntervalMs.getAsLong() - HttpClient.nowMs();
                 Runnable event = waitMs > 0 ? mQueue.poll(waitMs, TimeUnit.MILLISECONDS) : null;
                 if (event != null) {
                     runBatch(event);
                 } else {
                     mTick.run();
-                    tickedMs = HttpCaller.nowMs();
+                    tickedMs = HttpClient.nowMs();
                 }
                 mAfterBatch.run();
             } catch (InterruptedException e) {
--- a/entry/src/main/java/org/boragegap/entry/cell/TopicWatcher.java
+++ b/entry/src/main/java/org/boragegap/entry/cell/TopicWatcher.java
@@ -98,7 +98,7 @@
         if (epoch != mEpoch) {
             return;
         }
-        if (!(result instanceof StoreResult.Good<KeyedPage> good)) {
+        if (!(result instanceof StoreResult.Success<KeyedPage> good)) {
             readFailed(result);
             mTimer.schedule(() -> readSnapshot(epoch, ""), RETRY_MS, TimeUnit.MILLISECONDS);
             return;
@@ -110,7 +110,7 @@
             mSnapshotEnd = page.next();
         }
         apply(page, mSnapshot);
-        if (page.more() && !page.records().isEmpty()) {
+        if (page.hasMore() && !page.records().isEmpty()) {
             readSnapshot(epoch, page.records().get(page.records().size() - 1).key());
             return;
         }
@@ -141,7 +141,7 @@
         if (epoch != mEpoch) {
             return;
         }
-        if (result instanceof StoreResult.HistoryGone) {
+        if (result instanceof StoreResult.RecordsDeleted) {
             sLog.info(
                     "records of topic {} from {} on are deleted, reading the newest ones",
                     mTopic,
@@ -149,7 +149,7 @@
             readSnapshot(epoch, "");
             return;
         }
-        if (!(result instanceof StoreResult.Good<KeyedPage> good)) {
+        if (!(result instanceof StoreResult.Success<KeyedPage> good)) {
             readFailed(result);
             mTimer.schedule(() -> readChanges(epoch), RETRY_MS, TimeUnit.MILLISECONDS);
             return;
--- a/http/src/main/java/org/boragegap/http/HttpCaller.java
+++ b/http/src/main/java/org/boragegap/http/HttpClient.java
@@ -33,44 +33,50 @@
 /**
  * Sends HTTP requests over pooled connections, one request at a time on each.
  *
- * <p>It tells apart what was surely not sent from what may have been: nothing is ever sent again
- * here.
+ * <p>The result distinguishes requests that were certainly not sent from those that may have been.
+ * The client never retries a request.
  */
-public final class HttpCaller {
-    private static final Logger sLog = LogManager.getLogger(HttpCaller.class);
+public final class HttpClient {
+    private static final Logger sLog = LogManager.getLogger(HttpClient.class);
 
-    /** On a VM with one core a second thread only adds wake-ups. */
-    private static final int SELECTORS = Math.min(2, Runtime.getRuntime().availableProcessors());
+    /** One thread on a VM with a single core, where a second one only adds wake-ups. */
+    private static final int SELECTOR_THREADS =
+            Math.min(2, Runtime.getRuntime().availableProcessors());
 
-    /** How often calls are looked at that may be overdue, in ms. */
-    private static final long SWEEP_EVERY_MS = 100;
+    /** Interval between checks for overdue calls, in ms. */
+    private static final long SWEEP_INTERVAL_MS = 100;
 
     /**
-     * The same while no call with a short timeout was sent lately, in ms: a VM that only keeps in
-     * touch with the store needs no more, and each look is a wake-up.
+     * Interval between checks for overdue calls while no call with a short timeout was sent
+     * recently, in ms. It is enough for a VM that only polls the store, and each check is a
+     * wake-up.
      */
-    private static final long CALM_SWEEP_EVERY_MS = 250;
+    private static final long IDLE_SWEEP_INTERVAL_MS = 250;
 
-    /** A timeout is short below this, in ms: noticed a quarter of a second late, it is doubled. */
+    /**
+     * Timeouts below this value count as short, in ms: expiry noticed a quarter of a second late
+     * would lengthen them by half or more, and double one of 250 ms.
+     */
     private static final long SHORT_TIMEOUT_MS = 500;
 
-    /** How long a call with a short timeout makes for frequent looks, in ms. */
-    private static final long LATELY_MS = 1_000;
+    /** How long checks stay frequent after a call with a short timeout, in ms. */
+    private static final long FREQUENT_SWEEP_PERIOD_MS = 1_000;
 
     /**
-     * A connection not open by then, in ms, is given up and closed: many round trips. One that was
-     * begun while the other side was cut off would otherwise hold its request for a second after
-     * the cut, and its place among the connections to that address for seven: after a cut of some
-     * seconds all places were taken, and nothing could be sent to targets that were back.
+     * Connections that take longer than this to open are closed, in ms; it allows for many round
+     * trips. Without it, a connect attempt that starts while the remote host is unreachable delays
+     * its request by a second after the host is back, and occupies a slot of the pool for seven:
+     * after an outage of a few seconds all slots were occupied, and nothing could be sent to
+     * targets that were reachable again.
      */
-    private static final long CONNECT_WITHIN_MS = 400;
+    private static final long CONNECT_TIMEOUT_MS = 400;
 
     private final TCPNIOTransport mTransport;
-    private final int mConnectionsPerAddress;
-    private final Map<String, HttpPool> mPools = new ConcurrentHashMap<>();
-    private final Map<HttpExchange, GrizzlyFuture<?>> mOpening = new ConcurrentHashMap<>();
-    private final Map<Connection<?>, HttpExchange> mBusy = new ConcurrentHashMap<>();
-    private volatile long mShortCallMs = nowMs() - LATELY_MS;
+    private final int mMaxConnectionsPerAddress;
+    private final Map<String, ConnectionPool> mPools = new ConcurrentHashMap<>();
+    private final Map<HttpExchange, GrizzlyFuture<?>> mConnecting = new ConcurrentHashMap<>();
+    private final Map<Connection<?>, HttpExchange> mInFlight = new ConcurrentHashMap<>();
+    private volatile long mLastShortCallMs = nowMs() - FREQUENT_SWEEP_PERIOD_MS;
     private final ScheduledExecutorService mSweeper =
             Executors.newSingleThreadScheduledExecutor(
                     task -> {
@@ -79,8 +85,8 @@
                         return thread;
                     });
 
-    private HttpCaller(int connectionsPerAddress) {
-        mConnectionsPerAddress = connectionsPerAddress;
+    private HttpClient(int maxConnectionsPerAddress) {
+        mMaxConnectionsPerAddress = maxConnectionsPerAddress;
         FilterChainBuilder chain = FilterChainBuilder.stateless();
         chain.add(new TransportFilter());
         chain.add(new HttpClientFilter());
@@ -91,27 +97,27 @@
                         .setSelectorThreadPoolConfig(
                                 ThreadPoolConfig.defaultConfig()
                                         .setPoolName("http-out")
-                                        .setCorePoolSize(SELECTORS)
-                                        .setMaxPoolSize(SELECTORS))
-                        .setSelectorRunnersCount(SELECTORS)
+                                        .setCorePoolSize(SELECTOR_THREADS)
+                                        .setMaxPoolSize(SELECTOR_THREADS))
+                        .setSelectorRunnersCount(SELECTOR_THREADS)
                         .setTcpNoDelay(true)
                         .setProcessor(chain.build())
                         .build();
     }
 
     /**
-     * Makes a caller.
+     * Creates a client.
      *
-     * @param connectionsPerAddress most connections to one address
+     * @param maxConnectionsPerAddress maximum number of connections to one address
      */
-    public static HttpCaller create(int connectionsPerAddress) {
-        return new HttpCaller(connectionsPerAddress);
+    public static HttpClient create(int maxConnectionsPerAddress) {
+        return new HttpClient(maxConnectionsPerAddress);
     }
 
-    /** Starts its threads. */
+    /** Starts the I/O threads and the check for overdue calls. */
     public void start() throws IOException {
         mTransport.start();
-        sweepLater();
+        scheduleSweep();
     }
 
     /** Closes all connections. */
@@ -120,85 +126,91 @@
         try {
             mTransport.shutdownNow();
         } catch (IOException e) {
-            sLog.warn("http caller did not stop cleanly: {}", e.getMessage());
+            sLog.warn("HTTP client did not stop cleanly: {}", e.getMessage());
         }
     }
 
-    /** Monotonic milliseconds, as used for the times of a call. */
+    /**
+     * Returns the monotonic clock, in milliseconds, on which {@link HttpCall#sendByMs} is based.
+     */
     public static long nowMs() {
         return System.nanoTime() / 1_000_000;
     }
 
-    /** Sends a request; the result comes to the call's consumer on another thread. */
+    /**
+     * Sends a request. The call's consumer receives the result on any thread, which may be the
+     * calling one if the request can't be sent.
+     */
     public void send(HttpCall call) {
         long nowMs = nowMs();
         if (call.timeoutMs() < SHORT_TIMEOUT_MS) {
-            mShortCallMs = nowMs;
+            mLastShortCallMs = nowMs;
         }
         HttpExchange exchange = new HttpExchange(call, nowMs);
-        HttpPool pool =
+        ConnectionPool pool =
                 mPools.computeIfAbsent(
-                        call.address(), address -> new HttpPool(mConnectionsPerAddress));
+                        call.address(), address -> new ConnectionPool(mMaxConnectionsPerAddress));
         Connection<?> idle = pool.takeIdle(nowMs());
         if (idle != null) {
             write(idle, exchange);
-        } else if (pool.tryOpen()) {
-            open(pool, exchange);
+        } else if (pool.tryReserve()) {
+            connect(pool, exchange);
         } else {
-            exchange.endUnsent("no connection to it is free");
+            exchange.failUnsent("no connection to it is free");
         }
     }
 
     @SuppressWarnings("rawtypes")
-    private void open(HttpPool pool, HttpExchange exchange) {
-        GrizzlyFuture<Connection> opening = mTransport.connect(address(exchange.call().address()));
-        mOpening.put(exchange, opening);
+    private void connect(ConnectionPool pool, HttpExchange exchange) {
+        GrizzlyFuture<Connection> opening =
+                mTransport.connect(parseAddress(exchange.call().address()));
+        mConnecting.put(exchange, opening);
         opening.addCompletionHandler(
                 new EmptyCompletionHandler<>() {
                     @Override
                     public void completed(Connection connection) {
-                        mOpening.remove(exchange);
+                        mConnecting.remove(exchange);
                         write(connection, exchange);
                     }
 
                     @Override
                     public void cancelled() {
-                        mOpening.remove(exchange);
-                        pool.closed();
-                        exchange.endUnsent("no connection in time");
+                        mConnecting.remove(exchange);
+                        pool.connectionClosed();
+                        exchange.failUnsent("no connection in time");
                     }
 
                     @Override
                     public void failed(Throwable cause) {
-                        mOpening.remove(exchange);
-                        pool.closed();
-                        exchange.endUnsent("no connection: " + cause.getMessage());
+                        mConnecting.remove(exchange);
+                        pool.connectionClosed();
+                        exchange.failUnsent("no connection: " + cause.getMessage());
                     }
                 });
     }
 
-    private static InetSocketAddress address(String address) {
+    private static InetSocketAddress parseAddress(String address) {
         int colon = address.lastIndexOf(':');
         String host = address.substring(0, colon);
         return new InetSocketAddress(host, Integer.parseInt(address.substring(colon + 1)));
     }
 
     /**
-     * The time by which it must be sent is checked here, as late as possible: this process may have
-     * been paused since the decision, unaware.
+     * Writes the request. The send deadline is checked here, as late as possible, because the
+     * process may have been paused without noticing since the decision to send.
      */
     private void write(Connection<?> connection, HttpExchange exchange) {
         HttpCall call = exchange.call();
         if (nowMs() > call.sendByMs()) {
             pool(call).putIdle(connection, nowMs());
-            exchange.endUnsent("too late to send it");
+            exchange.failUnsent("too late to send it");
             return;
         }
-        if (!exchange.begin(nowMs())) {
+        if (!exchange.markSent(nowMs())) {
             pool(call).putIdle(connection, nowMs());
             return;
         }
-        mBusy.put(connection, exchange);
+        mInFlight.put(connection, exchange);
         HttpRequestPacket.Builder request =
                 HttpRequestPacket.builder()
                         .method(call.method())
@@ -216,60 +228,60 @@
         }
     }
 
-    private HttpPool pool(HttpCall call) {
+    private ConnectionPool pool(HttpCall call) {
         return mPools.get(call.address());
     }
 
     private void onClosed(Connection<?> connection) {
-        HttpExchange exchange = mBusy.remove(connection);
+        HttpExchange exchange = mInFlight.remove(connection);
         if (exchange == null) {
             return;
         }
-        pool(exchange.call()).closed();
-        exchange.end(new HttpResult.Lost("the connection closed before the whole response"));
+        pool(exchange.call()).connectionClosed();
+        exchange.complete(new HttpResult.Lost("the connection closed before the whole response"));
     }
 
-    private void sweepLater() {
-        boolean frequent = nowMs() - mShortCallMs <= LATELY_MS;
-        long delayMs = frequent ? SWEEP_EVERY_MS : CALM_SWEEP_EVERY_MS;
-        mSweeper.schedule(this::sweepAndGoOn, delayMs, TimeUnit.MILLISECONDS);
+    private void scheduleSweep() {
+        boolean recentShortCall = nowMs() - mLastShortCallMs <= FREQUENT_SWEEP_PERIOD_MS;
+        long delayMs = recentShortCall ? SWEEP_INTERVAL_MS : IDLE_SWEEP_INTERVAL_MS;
+        mSweeper.schedule(this::sweepAndReschedule, delayMs, TimeUnit.MILLISECONDS);
     }
 
-    private void sweepAndGoOn() {
+    private void sweepAndReschedule() {
         try {
             sweep();
         } catch (RuntimeException e) {
-            sLog.error("overdue calls can't be looked at, the next look may", e);
+            sLog.error("check for overdue calls failed, it will run again", e);
         }
-        sweepLater();
+        scheduleSweep();
     }
 
     private void sweep() {
         long nowMs = nowMs();
-        mOpening.forEach(
+        mConnecting.forEach(
                 (exchange, opening) -> {
-                    if (exchange.waitsTooLong(nowMs, CONNECT_WITHIN_MS)) {
+                    if (exchange.isConnectTimedOut(nowMs, CONNECT_TIMEOUT_MS)) {
                         opening.cancel(true);
                     }
                 });
-        for (Map.Entry<Connection<?>, HttpExchange> entry : mBusy.entrySet()) {
-            if (entry.getValue().overdue(nowMs)) {
-                giveUp(entry.getKey());
+        for (Map.Entry<Connection<?>, HttpExchange> entry : mInFlight.entrySet()) {
+            if (entry.getValue().isResponseOverdue(nowMs)) {
+                timeOut(entry.getKey());
             }
         }
-        for (HttpPool pool : mPools.values()) {
+        for (ConnectionPool pool : mPools.values()) {
             pool.closeStale(nowMs);
         }
     }
 
-    private void giveUp(Connection<?> connection) {
-        HttpExchange exchange = mBusy.remove(connection);
+    private void timeOut(Connection<?> connection) {
+        HttpExchange exchange = mInFlight.remove(connection);
         if (exchange == null) {
             return;
         }
         connection.closeSilently();
-        pool(exchange.call()).closed();
-        exchange.end(new HttpResult.Lost("no response in time"));
+        pool(exchange.call()).connectionClosed();
+        exchange.complete(new HttpResult.Lost("no response in time"));
     }
 
     private final class ResponseFilter extends BaseFilter {
@@ -281,7 +293,7 @@
             }
             HttpResponsePacket response = (HttpResponsePacket) content.getHttpHeader();
             Connection<?> connection = context.getConnection();
-            HttpExchange exchange = mBusy.remove(connection);
+            HttpExchange exchange = mInFlight.remove(connection);
             if (exchange == null) {
                 connection.closeSilently();
                 return context.getStopAction();
@@ -294,10 +306,10 @@
             if (keep) {
                 pool(exchange.call()).putIdle(connection, nowMs());
             } else {
-                pool(exchange.call()).closed();
+                pool(exchange.call()).connectionClosed();
                 connection.closeSilently();
             }
-            exchange.end(
+            exchange.complete(
                     new HttpResult.Response(response.getStatus(), body, tag == null ? "" : tag));
             return context.getStopAction();
         }
--- a/http/src/main/java/org/boragegap/http/HttpEndpoint.java
+++ b/http/src/main/java/org/boragegap/http/HttpEndpoint.java
@@ -20,52 +20,54 @@
 import org.glassfish.grizzly.strategies.SameThreadIOStrategy;
 import org.glassfish.grizzly.threadpool.ThreadPoolConfig;
 
-/** An HTTP listener that reads whole bodies without blocking and hands them to one handler. */
+/** An HTTP listener that reads whole bodies without blocking and passes them to one handler. */
 public final class HttpEndpoint {
     private static final Logger sLog = LogManager.getLogger(HttpEndpoint.class);
 
-    /** On a VM with one core a second thread only adds wake-ups. */
-    private static final int SELECTORS = Math.min(2, Runtime.getRuntime().availableProcessors());
+    /** One thread on a VM with a single core, where a second one only adds wake-ups. */
+    private static final int SELECTOR_THREADS =
+            Math.min(2, Runtime.getRuntime().availableProcessors());
 
-    private static final int TOO_LARGE = 413;
-    private static final int MOST_HEADER_BYTES = 16 * 1024;
+    private static final int CONTENT_TOO_LARGE = 413;
+    private static final int MAX_HEADER_BYTES = 16 * 1024;
     private static final int BUFFER_BYTES = 8 * 1024;
 
     private final HttpServer mServer = new HttpServer();
     private final NetworkListener mListener;
 
-    private HttpEndpoint(String name, String host, int port, int mostBytes, Handler handler) {
+    private HttpEndpoint(String name, String host, int port, int maxBodyBytes, Handler handler) {
         mListener = new NetworkListener(name, host, port);
-        mListener.setMaxHttpHeaderSize(MOST_HEADER_BYTES);
+        mListener.setMaxHttpHeaderSize(MAX_HEADER_BYTES);
         TCPNIOTransport transport = mListener.getTransport();
         transport.setIOStrategy(SameThreadIOStrategy.getInstance());
-        transport.setSelectorRunnersCount(SELECTORS);
+        transport.setSelectorRunnersCount(SELECTOR_THREADS);
         transport.setKernelThreadPoolConfig(
                 ThreadPoolConfig.defaultConfig()
                         .setPoolName(name)
-                        .setCorePoolSize(SELECTORS)
-                        .setMaxPoolSize(SELECTORS));
+                        .setCorePoolSize(SELECTOR_THREADS)
+                        .setMaxPoolSize(SELECTOR_THREADS));
         transport.setTcpNoDelay(true);
         mServer.addListener(mListener);
-        mServer.getServerConfiguration().addHttpHandler(new WholeBodies(mostBytes, handler), "/");
+        mServer.getServerConfiguration()
+                .addHttpHandler(new BodyBufferingHandler(maxBodyBytes, handler), "/");
         mServer.getServerConfiguration().setJmxEnabled(false);
     }
 
-    /** Takes requests. */
-    public interface Handler extends Consumer<HttpIn> {}
+    /** Handles requests. */
+    public interface Handler extends Consumer<IncomingRequest> {}
 
     /**
-     * Makes an endpoint.
+     * Creates an endpoint.
      *
-     * @param name used for its threads
-     * @param host address to listen on
+     * @param name name of its threads
+     * @param host host name or IP address to listen on
      * @param port port to listen on; 0 lets the system choose one
-     * @param mostBytes largest body that is taken
-     * @param handler takes each request; must not block
+     * @param maxBodyBytes largest accepted body, in bytes
+     * @param handler handles each request; must not block
      */
     public static HttpEndpoint create(
-            String name, String host, int port, int mostBytes, Handler handler) {
-        return new HttpEndpoint(name, host, port, mostBytes, handler);
+            String name, String host, int port, int maxBodyBytes, Handler handler) {
+        return new HttpEndpoint(name, host, port, maxBodyBytes, handler);
     }
 
     /** Starts listening. */
@@ -73,12 +75,17 @@
         mServer.start();
     }
 
-    /** Port that it listens on once it is started. */
+    /** Returns the port it listens on, once started. */
     public int port() {
         return mListener.getPort();
     }
 
-    /** Stops listening, and closes connections when what they carry is out or time is over. */
+    /**
+     * Stops listening and closes each connection once its responses are sent, or when the time is
+     * over.
+     *
+     * @param boundMs time allowed for pending responses, in milliseconds
+     */
     public void drain(long boundMs) {
         try {
             mServer.shutdown(boundMs, TimeUnit.MILLISECONDS)
@@ -86,7 +93,7 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } catch (ExecutionException | TimeoutException e) {
-            sLog.warn("not all responses were out within {} ms", boundMs);
+            sLog.warn("not all responses were sent within {} ms", boundMs);
         }
     }
 
@@ -95,35 +102,35 @@
         mServer.shutdownNow();
     }
 
-    private static final class WholeBodies extends HttpHandler {
-        private final int mMostBytes;
+    private static final class BodyBufferingHandler extends HttpHandler {
+        private final int mMaxBodyBytes;
         private final Handler mHandler;
 
-        private WholeBodies(int mostBytes, Handler handler) {
-            mMostBytes = mostBytes;
+        private BodyBufferingHandler(int maxBodyBytes, Handler handler) {
+            mMaxBodyBytes = maxBodyBytes;
             mHandler = handler;
         }
 
         @Override
         public void service(Request request, Response response) {
             response.suspend();
-            if (request.getContentLengthLong() > mMostBytes) {
-                tooLarge(request, response);
+            if (request.getContentLengthLong() > mMaxBodyBytes) {
+                rejectTooLarge(request, response);
                 return;
             }
             NIOInputStream input = request.getNIOInputStream();
             input.notifyAvailable(new BodyReader(request, response, input));
         }
 
-        private void tooLarge(Request request, Response response) {
+        private void rejectTooLarge(Request request, Response response) {
             String problem =
                     "{\"title\":\"Body too large\",\"status\":413,\"outcome\":\"not_run\","
                             + "\"detail\":\"the body may have "
-                            + mMostBytes
+                            + mMaxBodyBytes
                             + " bytes\"}";
-            new HttpIn(request, response, new byte[0])
+            new IncomingRequest(request, response, new byte[0])
                     .reply(
-                            TOO_LARGE,
+                            CONTENT_TOO_LARGE,
                             "application/problem+json",
                             Map.of("Connection", "close"),
                             problem);
@@ -144,8 +151,8 @@
             @Override
             public void onDataAvailable() throws IOException {
                 readAvailable();
-                if (mBytes.size() > mMostBytes) {
-                    tooLarge(mRequest, mResponse);
+                if (mBytes.size() > mMaxBodyBytes) {
+                    rejectTooLarge(mRequest, mResponse);
                     return;
                 }
                 mInput.notifyAvailable(this);
@@ -154,16 +161,16 @@
             @Override
             public void onAllDataRead() throws IOException {
                 readAvailable();
-                if (mBytes.size() > mMostBytes) {
-                    tooLarge(mRequest, mResponse);
+                if (mBytes.size() > mMaxBodyBytes) {
+                    rejectTooLarge(mRequest, mResponse);
                     return;
                 }
-                mHandler.accept(new HttpIn(mRequest, mResponse, mBytes.toByteArray()));
+                mHandler.accept(new IncomingRequest(mRequest, mResponse, mBytes.toByteArray()));
             }
 
             @Override
             public void onError(Throwable cause) {
-                sLog.debug("request body can't be read: {}", cause.getMessage());
+                sLog.debug("can't read request body: {}", cause.getMessage());
                 mResponse.resume();
             }
 
--- a/wire/src/main/java/org/boragegap/wire/PeerTransport.java
+++ b/wire/src/main/java/org/boragegap/wire/PeerTransport.java
@@ -20,16 +20,17 @@
 import org.glassfish.grizzly.threadpool.ThreadPoolConfig;
 
 /**
- * Connections among entry VMs: one for each direction.
+ * Connections between entry VMs; each pair of VMs uses one connection for each direction.
  *
- * <p>An answer goes back over the connection on which the question came, so either side that loses
- * the connection knows that the answer will not come.
+ * <p>A reply is sent over the connection on which the request arrived, so a side that loses the
+ * connection knows that no reply will arrive.
  */
 public final class PeerTransport {
     private static final Logger sLog = LogManager.getLogger(PeerTransport.class);
 
-    /** On a VM with one core a second thread only adds wake-ups. */
-    private static final int SELECTORS = Math.min(2, Runtime.getRuntime().availableProcessors());
+    /** One thread on a VM with a single core, where a second one only adds wake-ups. */
+    private static final int SELECTOR_THREADS =
+            Math.min(2, Runtime.getRuntime().availableProcessors());
 
     private final String mBindHost;
     private final int mBindPort;
@@ -39,7 +40,7 @@
     private final Map<String, PeerLink> mLinks = new ConcurrentHashMap<>();
     private final Map<Long, Connection<?>> mInbound = new ConcurrentHashMap<>();
     private final Map<Connection<?>, Long> mInboundIds = new ConcurrentHashMap<>();
-    private final AtomicLong mNextInbound = new AtomicLong(1);
+    private final AtomicLong mNextInboundId = new AtomicLong(1);
 
     private PeerTransport(String host, int port, PeerListener listener) {
         mBindHost = host;
@@ -55,16 +56,16 @@
                         .setSelectorThreadPoolConfig(
                                 ThreadPoolConfig.defaultConfig()
                                         .setPoolName("peer")
-                                        .setCorePoolSize(SELECTORS)
-                                        .setMaxPoolSize(SELECTORS))
-                        .setSelectorRunnersCount(SELECTORS)
+                                        .setCorePoolSize(SELECTOR_THREADS)
+                                        .setMaxPoolSize(SELECTOR_THREADS))
+                        .setSelectorRunnersCount(SELECTOR_THREADS)
                         .setTcpNoDelay(true)
                         .setReuseAddress(true)
                         .setProcessor(chain.build())
                         .build();
     }
 
-    /** Makes a transport that will listen at the given address; port 0 lets the system choose. */
+    /** Creates a transport that will listen on an address; port 0 lets the system choose one. */
     public static PeerTransport create(String host, int port, PeerListener listener) {
         return new PeerTransport(host, port, listener);
     }
@@ -76,7 +77,7 @@
         mTransport.start();
     }
 
-    /** Port that it listens on once it is started. */
+    /** Returns the port it listens on, once started. */
     int port() {
         return mPort;
     }
@@ -90,7 +91,7 @@
         }
     }
 
-    /** Sends to the entry VM at a peer address; a failure is told to the listener. */
+    /** Sends a message to the entry VM at a peer address; a failure is reported to the listener. */
     public void send(String address, PeerMessage message) {
         mLinks.computeIfAbsent(address, this::newLink).send(message);
     }
@@ -99,9 +100,9 @@
         return new PeerLink(address, mTransport, mListener);
     }
 
-    /** Sends back over the connection on which a message came; false if it is closed. */
-    public boolean answer(long link, PeerMessage message) {
-        Connection<?> connection = mInbound.get(link);
+    /** Replies over the connection on which a message arrived; returns false if it is closed. */
+    public boolean reply(long connectionId, PeerMessage message) {
+        Connection<?> connection = mInbound.get(connectionId);
         if (connection == null || !connection.isOpen()) {
             return false;
         }
@@ -109,13 +110,13 @@
         return true;
     }
 
-    /** Checks all outgoing connections; to be called some times a second. */
+    /** Checks all outgoing connections; to be called several times a second. */
     public void probe(long nowMs) {
         mLinks.values().forEach(link -> link.probe(nowMs));
     }
 
-    /** Reads {@code host:port}. */
-    public static InetSocketAddress parse(String address) {
+    /** Parses {@code host:port}. */
+    public static InetSocketAddress parseAddress(String address) {
         int colon = address.lastIndexOf(':');
         String host = address.substring(0, colon);
         return new InetSocketAddress(host, Integer.parseInt(address.substring(colon + 1)));
@@ -124,7 +125,7 @@
     private final class MessageFilter extends BaseFilter {
         @Override
         public NextAction handleAccept(FilterChainContext context) throws IOException {
-            long id = mNextInbound.getAndIncrement();
+            long id = mNextInboundId.getAndIncrement();
             mInbound.put(id, context.getConnection());
             mInboundIds.put(context.getConnection(), id);
             return context.getInvokeAction();
@@ -136,7 +137,7 @@
             Connection<?> connection = context.getConnection();
             Long inbound = mInboundIds.get(connection);
             if (inbound == null) {
-                PeerLink.of(connection).ifPresent(link -> onAnswer(link, connection, message));
+                PeerLink.of(connection).ifPresent(link -> onReply(link, connection, message));
             } else if (message instanceof PeerMessage.Ping) {
                 connection.write(new PeerMessage.Pong());
             } else {
@@ -145,9 +146,9 @@
             return context.getStopAction();
         }
 
-        private void onAnswer(PeerLink link, Connection<?> connection, PeerMessage message) {
+        private void onReply(PeerLink link, Connection<?> connection, PeerMessage message) {
             if (link.owns(connection)) {
-                link.onAnswer(message);
+                link.onReply(message);
             }
         }
 
--- a/wire/src/main/java/org/boragegap/wire/VerdictFields.java
+++ b/wire/src/main/java/org/boragegap/wire/VerdictFields.java
@@ -5,36 +5,39 @@
 import org.msgpack.core.MessagePacker;
 import org.msgpack.core.MessageUnpacker;
 
-/** The fields of each verdict in a frame: its number, its reason, and what else it has. */
+/**
+ * The encoding of each verdict in a frame: the number of its type, then its components. The number
+ * is the ordinal of the constant, so the order of the constants is part of the wire format.
+ */
 enum VerdictFields {
     COMPLETED {
         @Override
-        Verdict read(MessageUnpacker unpacker) {
+        Verdict unpackFields(MessageUnpacker unpacker) {
             return new Verdict.Completed();
         }
     },
     FAILED {
         @Override
-        Verdict read(MessageUnpacker unpacker) throws IOException {
+        Verdict unpackFields(MessageUnpacker unpacker) throws IOException {
             return new Verdict.Failed(unpacker.unpackString());
         }
     },
     DECLINED {
         @Override
-        Verdict read(MessageUnpacker unpacker) throws IOException {
+        Verdict unpackFields(MessageUnpacker unpacker) throws IOException {
             return new Verdict.Declined(unpacker.unpackString(), unpacker.unpackLong());
         }
     },
     IN_DOUBT {
         @Override
-        Verdict read(MessageUnpacker unpacker) throws IOException {
+        Verdict unpackFields(MessageUnpacker unpacker) throws IOException {
             return new Verdict.InDoubt(unpacker.unpackString());
         }
     };
 
     private static final VerdictFields[] ALL = values();
 
-    abstract Verdict read(MessageUnpacker unpacker) throws IOException;
+    abstract Verdict unpackFields(MessageUnpacker unpacker) throws IOException;
 
     static void pack(MessagePacker packer, Verdict verdict) throws IOException {
         if (verdict instanceof Verdict.Completed) {
@@ -52,8 +55,8 @@
     static Verdict unpack(MessageUnpacker unpacker) throws IOException {
         int number = unpacker.unpackInt();
         if (number < 0 || number >= ALL.length) {
-            throw new IOException("no such verdict: " + number);
+            throw new IOException("unknown verdict: " + number);
         }
-        return ALL[number].read(unpacker);
+        return ALL[number].unpackFields(unpacker);
     }
 }
