--- a/app/src/main/java/org/boragegap/app/CheckConfigCommand.java
+++ b/app/src/main/java/org/boragegap/app/CheckConfigCommand.java
@@ -26,7 +26,7 @@
     @Override
     public ExitCode run(CommandLine line) throws UsageException {
         if (line.hasOption("explain")) {
-            System.out.print(Setting.table());
+            System.out.print(Setting.markdownTable());
             return ExitCode.OK;
         }
         if (line.getArgList().size() != 1) {
@@ -37,12 +37,12 @@
 
     /** Reads settings, or prints what is wrong and returns null; prints what was replaced. */
     static Settings load(String file) {
-        Settings.Read read = Settings.read(Path.of(file));
-        if (read instanceof Settings.Read.Good good) {
-            good.settings().replaced().forEach(System.err::println);
+        Settings.ReadResult read = Settings.read(Path.of(file));
+        if (read instanceof Settings.ReadResult.Valid good) {
+            good.settings().replacedValues().forEach(System.err::println);
             return good.settings();
         }
-        ((Settings.Read.Bad) read).problems().forEach(System.err::println);
+        ((Settings.ReadResult.Invalid) read).problems().forEach(System.err::println);
         return null;
     }
 }
--- a/app/src/main/java/org/boragegap/app/EmbeddedCell.java
+++ b/app/src/main/java/org/boragegap/app/EmbeddedCell.java
@@ -139,7 +139,8 @@
                         "log = " + HOST + ":" + mStorePort,
                         "vm_list = " + HOST + ":" + mStorePort,
                         "store = " + HOST + ":" + mStorePort);
-        Settings settings = ((Settings.Read.Good) Settings.parse("quickstart", ini)).settings();
+        Settings settings =
+                ((Settings.ReadResult.Valid) Settings.parse("quickstart", ini)).settings();
         CellNode node = CellNode.create(settings, incarnation, CellNode.clock());
         node.start();
         mNodes.add(node);
--- a/app/src/main/java/org/boragegap/app/EmbeddedDeployment.java
+++ b/app/src/main/java/org/boragegap/app/EmbeddedDeployment.java
@@ -96,7 +96,7 @@
                         "log_poll_ms = 100",
                         mShape.settings(),
                         "");
-        return ((Settings.Read.Good) Settings.parse("quickstart", text)).settings();
+        return ((Settings.ReadResult.Valid) Settings.parse("quickstart", text)).settings();
     }
 
     void start() throws IOException, InterruptedException {
--- a/app/src/main/java/org/boragegap/app/ServeCommand.java
+++ b/app/src/main/java/org/boragegap/app/ServeCommand.java
@@ -88,7 +88,7 @@
     }
 
     private ExitCode serveCell(String file, Settings settings, long incarnation) throws Exception {
-        settings.replaced().forEach(line -> Log.LOGGER.warn("settings: {}", line));
+        settings.replacedValues().forEach(line -> Log.LOGGER.warn("settings: {}", line));
         HangupSignal.handle(() -> reload(file));
         CellNode node = CellNode.create(settings, incarnation, mBegan);
         node.start();
@@ -99,12 +99,12 @@
 
     /** Takes the log level from the changed file; all else is read at the next start. */
     private static void reload(String file) {
-        Settings.Read read = Settings.read(Path.of(file));
-        if (read instanceof Settings.Read.Bad bad) {
+        Settings.ReadResult read = Settings.read(Path.of(file));
+        if (read instanceof Settings.ReadResult.Invalid bad) {
             Log.LOGGER.error("reload: settings stay as they were: {}", bad.problems());
             return;
         }
-        String level = ((Settings.Read.Good) read).settings().text(Setting.LOG_LEVEL);
+        String level = ((Settings.ReadResult.Valid) read).settings().text(Setting.LOG_LEVEL);
         Configurator.setRootLevel(Level.toLevel(level));
         Log.LOGGER.info("reload: log level {}; other changes count from the next start", level);
     }
--- a/app/src/test/java/org/boragegap/app/CellPathTest.java
+++ b/app/src/test/java/org/boragegap/app/CellPathTest.java
@@ -103,7 +103,8 @@
                         "log = " + HOST + ":" + mStorePort,
                         "vm_list = " + HOST + ":" + mStorePort,
                         "store = " + HOST + ":" + mStorePort);
-        Settings settings = ((Settings.Read.Good) Settings.parse("test.ini", ini)).settings();
+        Settings settings =
+                ((Settings.ReadResult.Valid) Settings.parse("test.ini", ini)).settings();
         return CellNode.create(settings, mNodes.size() + 1, CellNode.clock());
     }
 
--- a/entry/src/main/java/org/boragegap/entry/ActionRunner.java
+++ b/entry/src/main/java/org/boragegap/entry/ActionRunner.java
@@ -19,17 +19,17 @@
 /** Carries out what the dispatcher decides; network traffic goes to other threads. */
 final class ActionRunner {
     /** The target's clock may be apart from this one; only a longer pause is to be caught. */
-    private static final long CLOCK_MARGIN_MS = 2_000;
+    private static final long CLOCK_TOLERANCE_MS = 2_000;
 
     private final Member mSelf;
     private final TargetClient mTargets;
     private final LogClient mLog;
     private final PeerTransport mPeers;
-    private final Executor mTraffic;
-    private CallerApi mCallers;
-    private LogFollower mFollower;
-    private Consumer<Event> mEvents;
-    private Consumer<Action.ReportDrained> mDrained;
+    private final Executor mNetworkExecutor;
+    private CallerApi mCallerApi;
+    private LogPoller mLogPoller;
+    private Consumer<Event> mEventSink;
+    private Consumer<Action.ReportDrained> mDrainListener;
 
     ActionRunner(
             Member self,
@@ -41,18 +41,18 @@
         mTargets = targets;
         mLog = log;
         mPeers = peers;
-        mTraffic = traffic;
+        mNetworkExecutor = traffic;
     }
 
     void connect(
             CallerApi callers,
-            LogFollower follower,
+            LogPoller follower,
             Consumer<Event> events,
             Consumer<Action.ReportDrained> drained) {
-        mCallers = callers;
-        mFollower = follower;
-        mEvents = events;
-        mDrained = drained;
+        mCallerApi = callers;
+        mLogPoller = follower;
+        mEventSink = events;
+        mDrainListener = drained;
     }
 
     /**
@@ -60,18 +60,19 @@
      *
      * @param idle whether the calling thread has nothing else to do, and may do the sending itself
      */
-    void run(Action action, boolean idle) {
-        Executor traffic = idle ? Runnable::run : mTraffic;
+    void execute(Action action, boolean idle) {
+        Executor traffic = idle ? Runnable::run : mNetworkExecutor;
         if (action instanceof Action.Start start) {
-            traffic.execute(() -> start(start));
+            traffic.execute(() -> startAttempt(start));
         } else if (action instanceof Action.Reply reply) {
-            traffic.execute(() -> reply(reply));
+            traffic.execute(() -> sendReply(reply));
         } else if (action instanceof Action.Accept accept) {
             if (accept.caller() instanceof CallerRef.HttpCaller caller) {
-                mTraffic.execute(() -> mCallers.accepted(caller.token(), accept.id()));
+                mNetworkExecutor.execute(() -> mCallerApi.onAccepted(caller.token(), accept.id()));
             }
         } else if (action instanceof Action.Stop stop) {
-            mTraffic.execute(() -> mTargets.stop(stop.target().address(), owner(), stop.attempt()));
+            mNetworkExecutor.execute(
+                    () -> mTargets.stop(stop.target().address(), owner(), stop.attempt()));
         } else if (action instanceof Action.SendClaimMessage tell) {
             mPeers.send(tell.address(), new PeerMessage.Claims(mSelf, tell.message()));
         } else if (action instanceof Action.SendLoanMessage tell) {
@@ -88,28 +89,28 @@
         } else if (action instanceof Action.SendBundle give) {
             mPeers.reply(give.link(), new PeerMessage.BundleIs(give.bundle()));
         } else if (action instanceof Action.AppendView append) {
-            append(new LogEntry.View(append.record()));
+            appendToLog(new LogEntry.View(append.record()));
         } else if (action instanceof Action.RestateBundle restate) {
-            append(
+            appendToLog(
                     new LogEntry.Configuration(
                             BundleRecord.Kind.STATED, restate.asOf(), restate.bundle()));
         } else if (action instanceof Action.ReportDrained drained) {
-            mDrained.accept(drained);
+            mDrainListener.accept(drained);
         }
     }
 
-    private void append(LogEntry entry) {
-        mLog.append(entry, acknowledged -> mFollower.poll());
+    private void appendToLog(LogEntry entry) {
+        mLog.append(entry, acknowledged -> mLogPoller.poll());
     }
 
     private String owner() {
         return mSelf.address() + "#" + mSelf.incarnation();
     }
 
-    private void start(Action.Start start) {
+    private void startAttempt(Action.Start start) {
         Submission submission = start.submission();
         long wallMs = System.currentTimeMillis();
-        long startByWallMs = wallMs + start.startByMs() - HttpClient.nowMs() + CLOCK_MARGIN_MS;
+        long startByWallMs = wallMs + start.startByMs() - HttpClient.nowMs() + CLOCK_TOLERANCE_MS;
         TaskOrder order =
                 new TaskOrder(
                         start.attempt(),
@@ -128,12 +129,12 @@
                 order,
                 start.startByMs(),
                 timeoutMs,
-                outcome -> mEvents.accept(new Event.AttemptEnded(start.attempt(), outcome)));
+                outcome -> mEventSink.accept(new Event.AttemptEnded(start.attempt(), outcome)));
     }
 
-    private void reply(Action.Reply reply) {
+    private void sendReply(Action.Reply reply) {
         if (reply.caller() instanceof CallerRef.HttpCaller caller) {
-            mCallers.answered(caller.token(), reply.id(), reply.answer());
+            mCallerApi.onAnswered(caller.token(), reply.id(), reply.answer());
         } else if (reply.caller() instanceof CallerRef.PeerCaller peer) {
             mPeers.reply(
                     peer.link(), new PeerMessage.ForwardAnswer(peer.forwardId(), reply.answer()));
--- a/entry/src/main/java/org/boragegap/entry/BundleDesk.java
+++ b/entry/src/main/java/org/boragegap/entry/BundleApi.java
@@ -21,13 +21,13 @@
  * <p>The reply to a publication comes from reading the log back, so an append whose reply was lost
  * is told apart from one that didn't take effect.
  */
-final class BundleDesk {
+final class BundleApi {
     private static final int OK = 200;
     private static final int BAD_REQUEST = 400;
     private static final int CONFLICT = 409;
     private static final int TIMEOUT = 504;
-    private static final long WAIT_MS = 10_000;
-    private static final long CHECK_EVERY_MS = 50;
+    private static final long PUBLICATION_TIMEOUT_MS = 10_000;
+    private static final long CHECK_INTERVAL_MS = 50;
 
     /** The bundle in force. */
     private record Status(long version, String publication, long sinceMs) {}
@@ -36,23 +36,23 @@
     private final BundleChecker mChecker;
     private final ScheduledExecutorService mTimer;
     private final ControlLoop mLoop;
-    private final LogFollower mFollower;
+    private final LogPoller mLogPoller;
 
-    BundleDesk(
+    BundleApi(
             LogClient log,
             BundleChecker checker,
             ScheduledExecutorService timer,
             ControlLoop loop,
-            LogFollower follower) {
+            LogPoller follower) {
         mLog = log;
         mChecker = checker;
         mTimer = timer;
         mLoop = loop;
-        mFollower = follower;
+        mLogPoller = follower;
     }
 
     void status(IncomingRequest in) {
-        mLoop.ask(BundleDesk::status)
+        mLoop.query(BundleApi::status)
                 .thenAccept(status -> in.reply(OK, PlatformJson.write(status)));
     }
 
@@ -74,44 +74,46 @@
         try {
             bundle = PlatformJson.read(in.text(), Bundle.class);
         } catch (PlatformException e) {
-            refuse(in, BAD_REQUEST, "the body is not a bundle");
+            reject(in, BAD_REQUEST, "the body is not a bundle");
             return;
         }
         if (bundle.publication() == null || bundle.signatures() == null || bundle.body() == null) {
-            refuse(in, BAD_REQUEST, "a bundle has publication, body and signatures");
+            reject(in, BAD_REQUEST, "a bundle has publication, body and signatures");
             return;
         }
         CheckedBundle checked = mChecker.check(bundle);
         if (checked.content().isEmpty()) {
-            refuse(in, BAD_REQUEST, checked.problem());
+            reject(in, BAD_REQUEST, checked.problem());
             return;
         }
         LogEntry entry = new LogEntry.Configuration(BundleRecord.Kind.PUBLISHED, -1, bundle);
-        long untilMs = HttpClient.nowMs() + WAIT_MS;
-        mLog.append(entry, acknowledged -> awaitVerdict(in, bundle, untilMs));
+        long untilMs = HttpClient.nowMs() + PUBLICATION_TIMEOUT_MS;
+        mLog.append(entry, acknowledged -> awaitResult(in, bundle, untilMs));
     }
 
-    private void awaitVerdict(IncomingRequest in, Bundle bundle, long untilMs) {
-        mFollower.poll();
-        mLoop.ask(dispatcher -> dispatcher.bundles().publicationResult(bundle.publication()))
-                .thenAccept(verdict -> onVerdict(in, bundle, untilMs, verdict));
+    private void awaitResult(IncomingRequest in, Bundle bundle, long untilMs) {
+        mLogPoller.poll();
+        mLoop.query(dispatcher -> dispatcher.bundles().publicationResult(bundle.publication()))
+                .thenAccept(verdict -> onResult(in, bundle, untilMs, verdict));
     }
 
-    private void onVerdict(
+    private void onResult(
             IncomingRequest in, Bundle bundle, long untilMs, Optional<String> verdict) {
         if (verdict.isPresent() && BundleChain.isAccepted(verdict.get())) {
             in.reply(OK, "{\"accepted\":true,\"version\":" + bundle.version() + "}");
         } else if (verdict.isPresent()) {
-            refuse(in, CONFLICT, verdict.get());
+            reject(in, CONFLICT, verdict.get());
         } else if (HttpClient.nowMs() > untilMs) {
-            refuse(in, TIMEOUT, "the log did not show it; it may still take effect");
+            reject(in, TIMEOUT, "the log did not show it; it may still take effect");
         } else {
             mTimer.schedule(
-                    () -> awaitVerdict(in, bundle, untilMs), CHECK_EVERY_MS, TimeUnit.MILLISECONDS);
+                    () -> awaitResult(in, bundle, untilMs),
+                    CHECK_INTERVAL_MS,
+                    TimeUnit.MILLISECONDS);
         }
     }
 
-    private static void refuse(IncomingRequest in, int status, String detail) {
-        CallerApi.problem(in, Problem.plain(status, "Bundle not accepted", detail));
+    private static void reject(IncomingRequest in, int status, String detail) {
+        CallerApi.replyProblem(in, Problem.ofStatus(status, "Bundle not accepted", detail));
     }
 }
--- a/entry/src/main/java/org/boragegap/entry/BundleChecker.java
+++ b/entry/src/main/java/org/boragegap/entry/BundleChecker.java
@@ -25,11 +25,11 @@
             new ObjectMapper().enable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES);
 
     private final Map<String, PublicKey> mSigners;
-    private final long mRequired;
+    private final long mRequiredSignatures;
 
     private BundleChecker(Map<String, PublicKey> signers, long required) {
         mSigners = signers;
-        mRequired = required;
+        mRequiredSignatures = required;
     }
 
     /**
@@ -44,13 +44,15 @@
         for (String pair : signers.split(",")) {
             int equals = pair.indexOf('=');
             if (equals > 0) {
-                keys.put(pair.substring(0, equals).trim(), key(pair.substring(equals + 1).trim()));
+                keys.put(
+                        pair.substring(0, equals).trim(),
+                        decodeKey(pair.substring(equals + 1).trim()));
             }
         }
         return new BundleChecker(keys, required);
     }
 
-    private static PublicKey key(String base64) throws EntryException {
+    private static PublicKey decodeKey(String base64) throws EntryException {
         try {
             byte[] bytes = Base64.getDecoder().decode(base64);
             return KeyFactory.getInstance("Ed25519").generatePublic(new X509EncodedKeySpec(bytes));
@@ -61,8 +63,8 @@
 
     /** Checks a bundle. */
     public CheckedBundle check(Bundle bundle) {
-        if (validSigners(bundle).size() < mRequired) {
-            String problem = "needs valid signatures of " + mRequired + " known signers";
+        if (validSigners(bundle).size() < mRequiredSignatures) {
+            String problem = "needs valid signatures of " + mRequiredSignatures + " known signers";
             return CheckedBundle.invalid(bundle, problem);
         }
         BundleContent content;
--- a/entry/src/main/java/org/boragegap/entry/CallerApi.java
+++ b/entry/src/main/java/org/boragegap/entry/CallerApi.java
@@ -21,9 +21,9 @@
 
 /** HTTP for callers: jobs, requests to services, their state and cancellation. */
 final class CallerApi {
-    private static final Pattern SERVICE =
+    private static final Pattern SERVICE_PATH =
             Pattern.compile("/v1/services/([a-z0-9-]{1,64})/requests");
-    private static final Pattern JOB = Pattern.compile("/v1/jobs/([^/]{1,200})");
+    private static final Pattern JOB_PATH = Pattern.compile("/v1/jobs/([^/]{1,200})");
     private static final Logger sLog = LogManager.getLogger(CallerApi.class);
     private static final int OK = 200;
     private static final int ACCEPTED = 202;
@@ -32,7 +32,7 @@
     private static final long MS_PER_SECOND = 1_000;
 
     /** A caller that waits. */
-    private record Open(IncomingRequest in, boolean async, boolean service, String team) {}
+    private record WaitingCaller(IncomingRequest in, boolean async, boolean service, String team) {}
 
     /** What a complete job is answered with. */
     private record CompleteJob(String id, String outcome, List<String> results) {}
@@ -40,69 +40,74 @@
     /** What a complete request is answered with. */
     private record CompleteRequest(String id, String outcome, String result) {}
 
-    private final BodyReader mReader;
+    private final JobBodyParser mParser;
     private final ControlLoop mLoop;
-    private final StatusDesk mStatus;
-    private final Map<Long, Open> mOpen = new ConcurrentHashMap<>();
+    private final JobStatusLookup mStatusLookup;
+    private final Map<Long, WaitingCaller> mWaitingCallers = new ConcurrentHashMap<>();
     private final AtomicLong mNextToken = new AtomicLong(1);
 
-    CallerApi(BodyReader reader, ControlLoop loop, StatusDesk status) {
-        mReader = reader;
+    CallerApi(JobBodyParser reader, ControlLoop loop, JobStatusLookup status) {
+        mParser = reader;
         mLoop = loop;
-        mStatus = status;
+        mStatusLookup = status;
     }
 
     void handle(IncomingRequest in) {
-        Matcher service = SERVICE.matcher(in.path());
-        Matcher job = JOB.matcher(in.path());
+        Matcher service = SERVICE_PATH.matcher(in.path());
+        Matcher job = JOB_PATH.matcher(in.path());
         if (in.path().equals("/v1/jobs")) {
             submit(in, Optional.empty());
         } else if (service.matches()) {
             submit(in, Optional.of(service.group(1)));
         } else if (job.matches()) {
-            onJob(in, job.group(1));
+            handleJob(in, job.group(1));
         } else {
-            problem(in, Problem.plain(NOT_FOUND, "Not found", "no such path"));
+            replyProblem(in, Problem.ofStatus(NOT_FOUND, "Not found", "no such path"));
         }
     }
 
     private void submit(IncomingRequest in, Optional<String> service) {
         if (!in.method().equals("POST")) {
-            problem(in, Problem.plain(METHOD_NOT_ALLOWED, "Method not allowed", "use POST"));
+            replyProblem(
+                    in, Problem.ofStatus(METHOD_NOT_ALLOWED, "Method not allowed", "use POST"));
             return;
         }
-        BodyReader.Good good;
+        JobBodyParser.ParsedJob good;
         try {
             Optional<String> key = in.header("Idempotency-Key");
-            good = mReader.read(in.text(), service, key, System.currentTimeMillis());
-        } catch (BodyReader.BadBodyException e) {
-            problem(in, Problem.badRequest(e.getMessage()));
+            good = mParser.parse(in.text(), service, key, System.currentTimeMillis());
+        } catch (JobBodyParser.InvalidBodyException e) {
+            replyProblem(in, Problem.badRequest(e.getMessage()));
             return;
         }
         long token = mNextToken.getAndIncrement();
-        mOpen.put(token, new Open(in, good.async(), service.isPresent(), good.submission().team()));
+        mWaitingCallers.put(
+                token,
+                new WaitingCaller(in, good.async(), service.isPresent(), good.submission().team()));
         CallerRef caller = new CallerRef.HttpCaller(token);
-        mLoop.post(new Event.Submitted(caller, good.submission(), good.fresh(), 0));
+        mLoop.post(new Event.Submitted(caller, good.submission(), good.newId(), 0));
     }
 
-    private void onJob(IncomingRequest in, String text) {
-        SubmissionId.ParseResult parsed = SubmissionId.parse(text, created(in));
+    private void handleJob(IncomingRequest in, String text) {
+        SubmissionId.ParseResult parsed = SubmissionId.parse(text, createdParameter(in));
         if (!(parsed instanceof SubmissionId.ParseResult.Valid valid)) {
             String reason = ((SubmissionId.ParseResult.Invalid) parsed).reason();
-            problem(in, Problem.badRequest("id: " + reason));
+            replyProblem(in, Problem.badRequest("id: " + reason));
             return;
         }
         if (in.method().equals("DELETE")) {
             mLoop.post(new Event.Cancelled(valid.id(), 0));
             in.reply(ACCEPTED, "{\"state\":\"cancelling\"}");
         } else if (in.method().equals("GET")) {
-            mStatus.ask(valid.id(), status -> onStatus(in, valid.id(), status));
+            mStatusLookup.find(valid.id(), status -> replyStatus(in, valid.id(), status));
         } else {
-            problem(in, Problem.plain(METHOD_NOT_ALLOWED, "Method not allowed", "GET or DELETE"));
+            replyProblem(
+                    in,
+                    Problem.ofStatus(METHOD_NOT_ALLOWED, "Method not allowed", "GET or DELETE"));
         }
     }
 
-    private static OptionalLong created(IncomingRequest in) {
+    private static OptionalLong createdParameter(IncomingRequest in) {
         try {
             return in.query("created")
                     .map(Long::parseLong)
@@ -113,41 +118,41 @@
         }
     }
 
-    private void onStatus(IncomingRequest in, SubmissionId id, JobStatus status) {
+    private void replyStatus(IncomingRequest in, SubmissionId id, JobStatus status) {
         if (status.answer().isPresent()) {
-            answer(in, false, id, status.answer().get());
+            replyAnswer(in, false, id, status.answer().get());
         } else if (status.known()) {
             in.reply(OK, "{\"id\":\"" + id.text() + "\",\"state\":\"running\"}");
         } else {
             String detail = "no VM that could be reached knows this id";
-            problem(in, Problem.plain(NOT_FOUND, "Not known", detail));
+            replyProblem(in, Problem.ofStatus(NOT_FOUND, "Not known", detail));
         }
     }
 
     /** The submission was taken in and will be answered. */
-    void accepted(long token, SubmissionId id) {
-        Open open = mOpen.get(token);
+    void onAccepted(long token, SubmissionId id) {
+        WaitingCaller open = mWaitingCallers.get(token);
         if (open == null || !open.async()) {
             return;
         }
-        mOpen.remove(token);
+        mWaitingCallers.remove(token);
         Map<String, String> headers = Map.of("Location", "/v1/jobs/" + id.text());
         String json = "{\"id\":\"" + id.text() + "\",\"state\":\"accepted\"}";
         open.in().reply(ACCEPTED, "application/json", headers, json);
     }
 
     /** The one final answer. */
-    void answered(long token, SubmissionId id, Answer answer) {
-        Open open = mOpen.remove(token);
+    void onAnswered(long token, SubmissionId id, Answer answer) {
+        WaitingCaller open = mWaitingCallers.remove(token);
         if (open != null) {
-            log(open, id, answer);
-            answer(open.in(), open.service(), id, answer);
+            logFailure(open, id, answer);
+            replyAnswer(open.in(), open.service(), id, answer);
         }
     }
 
     /** Refusals come in floods and are counted; what is in doubt or failed is worth a line each. */
     @SuppressWarnings("try")
-    private static void log(Open open, SubmissionId id, Answer answer) {
+    private static void logFailure(WaitingCaller open, SubmissionId id, Answer answer) {
         if (!(answer instanceof Answer.Failed failed)) {
             return;
         }
@@ -161,14 +166,14 @@
         }
     }
 
-    int open() {
-        return mOpen.size();
+    int waitingCallers() {
+        return mWaitingCallers.size();
     }
 
-    private static void answer(
+    private static void replyAnswer(
             IncomingRequest in, boolean service, SubmissionId id, Answer answer) {
         if (answer instanceof Answer.Failed failed) {
-            problem(in, Problem.of(id.text(), failed));
+            replyProblem(in, Problem.ofFailure(id.text(), failed));
             return;
         }
         List<String> results = ((Answer.Complete) answer).results();
@@ -179,7 +184,7 @@
         in.reply(OK, PlatformJson.write(body));
     }
 
-    static void problem(IncomingRequest in, Problem problem) {
+    static void replyProblem(IncomingRequest in, Problem problem) {
         Map<String, String> headers = Map.of();
         if (problem.retryAfterMs() != null) {
             long seconds = (problem.retryAfterMs() + MS_PER_SECOND - 1) / MS_PER_SECOND;
--- a/entry/src/main/java/org/boragegap/entry/ControlLoop.java
+++ b/entry/src/main/java/org/boragegap/entry/ControlLoop.java
@@ -20,9 +20,9 @@
 /** The one thread that holds the control state: events in, actions out. */
 final class ControlLoop {
     private static final Logger sLog = LogManager.getLogger(ControlLoop.class);
-    private static final long TICK_MS = 50;
-    private static final long IDLE_TICK_MS = 250;
-    private static final int MOST_INLINE = 2;
+    private static final long TICK_INTERVAL_MS = 50;
+    private static final long IDLE_TICK_INTERVAL_MS = 250;
+    private static final int MAX_INLINE_ACTIONS = 2;
 
     private final Dispatcher mDispatcher;
     private final ActionRunner mRunner;
@@ -37,7 +37,7 @@
                     });
     private volatile boolean mStopped;
     private volatile boolean mBusy = true;
-    private long mTickedMs;
+    private long mLastTickMs;
 
     ControlLoop(Dispatcher dispatcher, ActionRunner runner) {
         mDispatcher = dispatcher;
@@ -46,14 +46,15 @@
 
     void start() {
         mThread.start();
-        mTicker.scheduleAtFixedRate(this::tick, TICK_MS, TICK_MS, TimeUnit.MILLISECONDS);
+        mTicker.scheduleAtFixedRate(
+                this::tick, TICK_INTERVAL_MS, TICK_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
     /** An idle process ticks slowly, so that waiting costs next to nothing. */
     private void tick() {
         long nowMs = HttpClient.nowMs();
-        if (mBusy || nowMs - mTickedMs >= IDLE_TICK_MS) {
-            mTickedMs = nowMs;
+        if (mBusy || nowMs - mLastTickMs >= IDLE_TICK_INTERVAL_MS) {
+            mLastTickMs = nowMs;
             post(new Event.Ticked());
         }
     }
@@ -69,23 +70,23 @@
     }
 
     /** Reads the control state on its own thread. */
-    <T> CompletableFuture<T> ask(Function<Dispatcher, T> question) {
+    <T> CompletableFuture<T> query(Function<Dispatcher, T> question) {
         CompletableFuture<T> answer = new CompletableFuture<>();
         mQueue.add(() -> answer.complete(question.apply(mDispatcher)));
         return answer;
     }
 
-    static ClockReading clock() {
+    static ClockReading readClock() {
         return new ClockReading(HttpClient.nowMs(), System.currentTimeMillis());
     }
 
     private void handle(Event event) {
         List<Action> actions = new ArrayList<>();
-        mDispatcher.onEvent(event, clock(), actions);
+        mDispatcher.onEvent(event, readClock(), actions);
         mBusy = mDispatcher.busy();
         // With nothing else to do, handing a single message over would cost more than sending it.
-        boolean idle = actions.size() <= MOST_INLINE && mQueue.isEmpty();
-        actions.forEach(action -> mRunner.run(action, idle));
+        boolean idle = actions.size() <= MAX_INLINE_ACTIONS && mQueue.isEmpty();
+        actions.forEach(action -> mRunner.execute(action, idle));
     }
 
     private void run() {
--- a/entry/src/main/java/org/boragegap/entry/EntryService.java
+++ b/entry/src/main/java/org/boragegap/entry/EntryService.java
@@ -36,9 +36,9 @@
 /** One entry process: all its parts, started and stopped together. */
 public final class EntryService {
     private static final Logger sLog = LogManager.getLogger(EntryService.class);
-    private static final int TRAFFIC_THREADS = 2;
-    private static final long PROBE_EVERY_MS = 1_000;
-    private static final long FLUSH_WITHIN_MS = 1_000;
+    private static final int NETWORK_THREADS = 2;
+    private static final long PROBE_INTERVAL_MS = 1_000;
+    private static final long FLUSH_TIMEOUT_MS = 1_000;
     private static final int OPERATOR_BODY_BYTES = 8 * 1024 * 1024;
 
     private final Settings mSettings;
@@ -46,56 +46,59 @@
     private final HttpClient mHttp;
     private final PeerTransport mPeers;
     private final ControlLoop mLoop;
-    private final LogFollower mFollower;
+    private final LogPoller mLogPoller;
     private final VmListClient mVmList;
-    private final CallerApi mCallers;
-    private final StatusDesk mStatus;
+    private final CallerApi mCallerApi;
+    private final JobStatusLookup mStatusLookup;
     private final BundleChecker mChecker;
     private final Metrics mMetrics = new Metrics();
     private final HttpEndpoint mCallerEndpoint;
     private final HttpEndpoint mOperatorEndpoint;
-    private final ExecutorService mTraffic;
+    private final ExecutorService mNetworkExecutor;
     private final ScheduledExecutorService mTimer =
-            Executors.newSingleThreadScheduledExecutor(task -> daemon(task, "timer"));
+            Executors.newSingleThreadScheduledExecutor(task -> newDaemonThread(task, "timer"));
     private final CountDownLatch mDrained = new CountDownLatch(1);
-    private final AtomicReference<Action.ReportDrained> mSummary = new AtomicReference<>();
+    private final AtomicReference<Action.ReportDrained> mDrainSummary = new AtomicReference<>();
 
     private EntryService(Settings settings, long incarnation) throws EntryException {
         mSettings = settings;
         mSelf = new Member(settings.text(Setting.PEER_ADDRESS), incarnation);
-        mTraffic = Executors.newFixedThreadPool(TRAFFIC_THREADS, task -> daemon(task, "traffic"));
+        mNetworkExecutor =
+                Executors.newFixedThreadPool(
+                        NETWORK_THREADS, task -> newDaemonThread(task, "traffic"));
         mHttp = HttpClient.create((int) settings.number(Setting.CONNECTIONS));
         mChecker =
                 BundleChecker.create(
                         settings.text(Setting.SIGNERS), settings.number(Setting.SIGNATURES));
-        mStatus = new StatusDesk(mTimer);
+        mStatusLookup = new JobStatusLookup(mTimer);
         mPeers =
                 PeerTransport.create(
                         settings.host(Setting.PEER_ADDRESS),
                         settings.port(Setting.PEER_ADDRESS),
-                        new Peers());
+                        new PeerMessageHandler());
         LogClient log = LogClient.create(mHttp, settings.text(Setting.LOG_ADDRESS));
         mVmList = VmListClient.create(mHttp, settings.text(Setting.VM_LIST_ADDRESS));
         TargetClient targets = TargetClient.create(mHttp);
-        ActionRunner runner = new ActionRunner(mSelf, targets, log, mPeers, mTraffic);
+        ActionRunner runner = new ActionRunner(mSelf, targets, log, mPeers, mNetworkExecutor);
         mLoop = new ControlLoop(newDispatcher(), runner);
-        mFollower =
-                new LogFollower(
+        mLogPoller =
+                new LogPoller(
                         log, mChecker, mLoop::post, mTimer, settings.number(Setting.LOG_POLL_MS));
-        BodyReader reader = new BodyReader(settings.number(Setting.TASKS_PER_JOB), this::mint);
-        mCallers = new CallerApi(reader, mLoop, mStatus);
-        runner.connect(mCallers, mFollower, mLoop::post, this::onDrained);
-        mStatus.connect(mLoop, mPeers);
-        BundleDesk bundles = new BundleDesk(log, mChecker, mTimer, mLoop, mFollower);
+        JobBodyParser reader =
+                new JobBodyParser(settings.number(Setting.TASKS_PER_JOB), this::mintId);
+        mCallerApi = new CallerApi(reader, mLoop, mStatusLookup);
+        runner.connect(mCallerApi, mLogPoller, mLoop::post, this::onDrained);
+        mStatusLookup.connect(mLoop, mPeers);
+        BundleApi bundles = new BundleApi(log, mChecker, mTimer, mLoop, mLogPoller);
         OperatorApi operators =
-                new OperatorApi(operatorKey(), mLoop, mMetrics, bundles, this::drain);
+                new OperatorApi(readOperatorKey(), mLoop, mMetrics, bundles, this::drain);
         mCallerEndpoint =
                 HttpEndpoint.create(
                         "callers",
                         settings.host(Setting.CALLER_ADDRESS),
                         settings.port(Setting.CALLER_ADDRESS),
                         (int) settings.number(Setting.BODY_BYTES),
-                        mCallers::handle);
+                        mCallerApi::handle);
         mOperatorEndpoint =
                 HttpEndpoint.create(
                         "operators",
@@ -116,13 +119,13 @@
         return new EntryService(settings, incarnation);
     }
 
-    private static Thread daemon(Runnable task, String name) {
+    private static Thread newDaemonThread(Runnable task, String name) {
         Thread thread = new Thread(task, name);
         thread.setDaemon(true);
         return thread;
     }
 
-    private String operatorKey() throws EntryException {
+    private String readOperatorKey() throws EntryException {
         String file = mSettings.text(Setting.OPERATOR_KEY_FILE);
         if (file.isEmpty()) {
             return "";
@@ -161,11 +164,11 @@
         return Dispatcher.create(mSelf, dispatch, limits, random);
     }
 
-    private final TimeBasedEpochGenerator mIds = Generators.timeBasedEpochGenerator();
+    private final TimeBasedEpochGenerator mIdGenerator = Generators.timeBasedEpochGenerator();
 
-    private SubmissionId mint() {
+    private SubmissionId mintId() {
         return SubmissionId.mint(
-                mSettings.text(Setting.FAILURE_DOMAIN), mSelf.address(), mIds.generate());
+                mSettings.text(Setting.FAILURE_DOMAIN), mSelf.address(), mIdGenerator.generate());
     }
 
     /** Starts all parts. */
@@ -173,10 +176,10 @@
         mHttp.start();
         mPeers.start();
         mLoop.start();
-        mFollower.start();
-        every(mSettings.number(Setting.VM_LIST_POLL_MS), this::pollVmList);
-        every(PROBE_EVERY_MS, () -> mPeers.probe(HttpClient.nowMs()));
-        every(PROBE_EVERY_MS, this::publishState);
+        mLogPoller.start();
+        schedulePeriodically(mSettings.number(Setting.VM_LIST_POLL_MS), this::pollVmList);
+        schedulePeriodically(PROBE_INTERVAL_MS, () -> mPeers.probe(HttpClient.nowMs()));
+        schedulePeriodically(PROBE_INTERVAL_MS, this::updateMetrics);
         mOperatorEndpoint.start();
         mCallerEndpoint.start();
         sLog.info(
@@ -187,7 +190,7 @@
                 mSettings.text(Setting.CALLER_ADDRESS));
     }
 
-    private void every(long periodMs, Runnable task) {
+    private void schedulePeriodically(long periodMs, Runnable task) {
         mTimer.scheduleWithFixedDelay(task, 0, periodMs, TimeUnit.MILLISECONDS);
     }
 
@@ -195,9 +198,9 @@
         mVmList.read(list -> list.ifPresent(vms -> mLoop.post(new Event.VmsListed(vms.vms()))));
     }
 
-    private void publishState() {
-        mLoop.ask(dispatcher -> dispatcher.state(ControlLoop.clock()))
-                .thenAccept(mMetrics::publish);
+    private void updateMetrics() {
+        mLoop.query(dispatcher -> dispatcher.state(ControlLoop.readClock()))
+                .thenAccept(mMetrics::update);
     }
 
     /** Begins a graceful shutdown; asking twice changes nothing. */
@@ -207,17 +210,17 @@
     }
 
     private void onDrained(Action.ReportDrained drained) {
-        mSummary.set(drained);
+        mDrainSummary.set(drained);
         mDrained.countDown();
     }
 
     /** Waits until the drain is over and its answers are out. */
     public void awaitDrained() throws InterruptedException {
         mDrained.await();
-        mTraffic.shutdown();
-        mTraffic.awaitTermination(1, TimeUnit.SECONDS);
-        mCallerEndpoint.drain(FLUSH_WITHIN_MS);
-        Action.ReportDrained summary = mSummary.get();
+        mNetworkExecutor.shutdown();
+        mNetworkExecutor.awaitTermination(1, TimeUnit.SECONDS);
+        mCallerEndpoint.drain(FLUSH_TIMEOUT_MS);
+        Action.ReportDrained summary = mDrainSummary.get();
         sLog.info(
                 "drained: {} submissions answered since the drain began, {} of them failed at the"
                         + " bound",
@@ -233,10 +236,10 @@
         mPeers.stop();
         mHttp.stop();
         mTimer.shutdownNow();
-        mTraffic.shutdownNow();
+        mNetworkExecutor.shutdownNow();
     }
 
-    private final class Peers implements PeerListener {
+    private final class PeerMessageHandler implements PeerListener {
         @Override
         public void onMessage(long link, PeerMessage message) {
             if (message instanceof PeerMessage.Claims claims) {
@@ -256,9 +259,9 @@
             } else if (message instanceof PeerMessage.BundleIs is) {
                 mLoop.post(new Event.BundleReceived(mChecker.check(is.bundle())));
             } else if (message instanceof PeerMessage.Ask ask) {
-                mStatus.onAsked(link, ask);
+                mStatusLookup.onAsked(link, ask);
             } else if (message instanceof PeerMessage.Told told) {
-                mStatus.onTold(told);
+                mStatusLookup.onTold(told);
             }
         }
 
--- a/entry/src/main/java/org/boragegap/entry/BodyReader.java
+++ b/entry/src/main/java/org/boragegap/entry/JobBodyParser.java
@@ -20,67 +20,73 @@
 import org.boragegap.core.job.TaskSpec;
 
 /** Turns a request body into a submission, or says in one line what is wrong with it. */
-final class BodyReader {
-    private static final Pattern NAME = Pattern.compile("[A-Za-z0-9._-]{1,64}");
-    private static final int MOST_NESTING = 16;
+final class JobBodyParser {
+    private static final Pattern NAME_PATTERN = Pattern.compile("[A-Za-z0-9._-]{1,64}");
+    private static final int MAX_NESTING = 16;
     private static final long DEFAULT_TIMEOUT_MS = 30_000;
-    private static final long MOST_TIMEOUT_MS = 600_000;
-    private static final int MOST_CPU_MILLIS = 10_000_000;
-    private static final int MOST_ACCELERATORS = 1_000;
+    private static final long MAX_TIMEOUT_MS = 600_000;
+    private static final int MAX_CPU_MILLIS = 10_000_000;
+    private static final int MAX_ACCELERATORS = 1_000;
     private static final long DEFAULT_EXPECTED_MS = 100;
 
     /**
      * What was read.
      *
      * @param submission the submission
-     * @param fresh whether its id was minted here
+     * @param newId whether its id was minted here
      * @param async whether the caller wants 202 at once
      */
-    record Good(Submission submission, boolean fresh, boolean async) {}
+    record ParsedJob(Submission submission, boolean newId, boolean async) {}
 
     /** A body that is not acceptable; the message is one line for the caller. */
-    static final class BadBodyException extends Exception {
+    static final class InvalidBodyException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        BadBodyException(String message) {
+        InvalidBodyException(String message) {
             super(message);
         }
     }
 
     private final ObjectMapper mMapper;
-    private final long mMostTasks;
-    private final Supplier<SubmissionId> mMint;
+    private final long mMaxTasks;
+    private final Supplier<SubmissionId> mIdGenerator;
 
-    BodyReader(long mostTasks, Supplier<SubmissionId> mint) {
+    JobBodyParser(long mostTasks, Supplier<SubmissionId> mint) {
         JsonFactory factory =
                 JsonFactory.builder()
                         .streamReadConstraints(
                                 StreamReadConstraints.builder()
-                                        .maxNestingDepth(MOST_NESTING)
+                                        .maxNestingDepth(MAX_NESTING)
                                         .build())
                         .build();
         factory.enable(JsonParser.Feature.STRICT_DUPLICATE_DETECTION);
         mMapper = new ObjectMapper(factory);
         mMapper.enable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES);
         mMapper.enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS);
-        mMostTasks = mostTasks;
-        mMint = mint;
+        mMaxTasks = mostTasks;
+        mIdGenerator = mint;
     }
 
     /** Reads a job, or a request to a service if one is named. */
-    Good read(String text, Optional<String> service, Optional<String> key, long wallMs)
-            throws BadBodyException {
-        JobBody body = parse(text);
-        require(body.team() != null && NAME.matcher(body.team()).matches(), "team", "a name");
-        require(body.kind() != null && NAME.matcher(body.kind()).matches(), "kind", "a name");
+    ParsedJob parse(String text, Optional<String> service, Optional<String> key, long wallMs)
+            throws InvalidBodyException {
+        JobBody body = readJson(text);
+        require(
+                body.team() != null && NAME_PATTERN.matcher(body.team()).matches(),
+                "team",
+                "a name");
+        require(
+                body.kind() != null && NAME_PATTERN.matcher(body.kind()).matches(),
+                "kind",
+                "a name");
         long timeoutMs = body.timeoutMs() == null ? DEFAULT_TIMEOUT_MS : body.timeoutMs();
         require(
-                timeoutMs >= 1 && timeoutMs <= MOST_TIMEOUT_MS,
+                timeoutMs >= 1 && timeoutMs <= MAX_TIMEOUT_MS,
                 "timeoutMs",
-                "1 to " + MOST_TIMEOUT_MS);
-        List<TaskSpec> tasks = service.isPresent() ? single(body) : tasks(body);
+                "1 to " + MAX_TIMEOUT_MS);
+        List<TaskSpec> tasks = service.isPresent() ? serviceTask(body) : jobTasks(body);
         Optional<String> given = key.isPresent() ? key : Optional.ofNullable(body.id());
-        SubmissionId id = given.isPresent() ? id(given.get(), body) : mMint.get();
+        SubmissionId id = given.isPresent() ? parseId(given.get(), body) : mIdGenerator.get();
         String identity = body.team() + '|' + body.kind() + '|' + service + '|' + tasks;
         byte[] bytes = (identity + '|' + body.idempotent()).getBytes(StandardCharsets.UTF_8);
         long fingerprint = MurmurHash3.hash128x64(bytes)[0];
@@ -94,69 +100,70 @@
                         wallMs + timeoutMs,
                         tasks,
                         fingerprint);
-        return new Good(submission, given.isEmpty(), body.async());
+        return new ParsedJob(submission, given.isEmpty(), body.async());
     }
 
-    private JobBody parse(String text) throws BadBodyException {
+    private JobBody readJson(String text) throws InvalidBodyException {
         try {
             JobBody body = mMapper.readValue(text, JobBody.class);
             require(body != null, "body", "a JSON object");
             return body;
         } catch (JsonProcessingException e) {
-            throw new BadBodyException("body: " + e.getOriginalMessage());
+            throw new InvalidBodyException("body: " + e.getOriginalMessage());
         }
     }
 
     private static void require(boolean good, String field, String expected)
-            throws BadBodyException {
+            throws InvalidBodyException {
         if (!good) {
-            throw new BadBodyException(field + ": expected " + expected);
+            throw new InvalidBodyException(field + ": expected " + expected);
         }
     }
 
-    private static SubmissionId id(String text, JobBody body) throws BadBodyException {
+    private static SubmissionId parseId(String text, JobBody body) throws InvalidBodyException {
         OptionalLong created =
                 body.created() == null ? OptionalLong.empty() : OptionalLong.of(body.created());
         SubmissionId.ParseResult parsed = SubmissionId.parse(text, created);
         if (parsed instanceof SubmissionId.ParseResult.Invalid invalid) {
-            throw new BadBodyException("id: " + invalid.reason());
+            throw new InvalidBodyException("id: " + invalid.reason());
         }
         return ((SubmissionId.ParseResult.Valid) parsed).id();
     }
 
-    private static List<TaskSpec> single(JobBody body) throws BadBodyException {
+    private static List<TaskSpec> serviceTask(JobBody body) throws InvalidBodyException {
         require(body.payload() != null, "payload", "text");
         require(body.tasks() == null, "tasks", "nothing, in a request to a service");
         return List.of(new TaskSpec(0, Resources.NONE, DEFAULT_EXPECTED_MS, body.payload()));
     }
 
-    private List<TaskSpec> tasks(JobBody body) throws BadBodyException {
+    private List<TaskSpec> jobTasks(JobBody body) throws InvalidBodyException {
         int count = body.tasks() == null ? 0 : body.tasks().size();
-        require(count >= 1 && count <= mMostTasks, "tasks", "1 to " + mMostTasks + " tasks");
+        require(count >= 1 && count <= mMaxTasks, "tasks", "1 to " + mMaxTasks + " tasks");
         require(body.payload() == null, "payload", "nothing, in a job; its tasks have theirs");
         List<TaskSpec> tasks = new ArrayList<>(count);
         for (JobBody.TaskBody task : body.tasks()) {
-            tasks.add(task(tasks.size(), task));
+            tasks.add(toTaskSpec(tasks.size(), task));
         }
         return List.copyOf(tasks);
     }
 
-    private static TaskSpec task(int index, JobBody.TaskBody task) throws BadBodyException {
+    private static TaskSpec toTaskSpec(int index, JobBody.TaskBody task)
+            throws InvalidBodyException {
         String name = "tasks[" + index + "]";
         require(task != null && task.payload() != null, name + ".payload", "text");
         require(
-                task.cpuMillis() >= 0 && task.cpuMillis() <= MOST_CPU_MILLIS,
+                task.cpuMillis() >= 0 && task.cpuMillis() <= MAX_CPU_MILLIS,
                 name + ".cpuMillis",
-                "0 to " + MOST_CPU_MILLIS);
+                "0 to " + MAX_CPU_MILLIS);
         require(task.memoryMb() >= 0, name + ".memoryMb", "0 or more");
         require(
-                task.accelerators() >= 0 && task.accelerators() <= MOST_ACCELERATORS,
+                task.accelerators() >= 0 && task.accelerators() <= MAX_ACCELERATORS,
                 name + ".accelerators",
-                "0 to " + MOST_ACCELERATORS);
+                "0 to " + MAX_ACCELERATORS);
         require(
-                task.expectedMs() >= 0 && task.expectedMs() <= MOST_TIMEOUT_MS,
+                task.expectedMs() >= 0 && task.expectedMs() <= MAX_TIMEOUT_MS,
                 name + ".expectedMs",
-                "0 to " + MOST_TIMEOUT_MS);
+                "0 to " + MAX_TIMEOUT_MS);
         Resources need = new Resources(task.cpuMillis(), task.memoryMb(), task.accelerators());
         long expectedMs = task.expectedMs() == 0 ? DEFAULT_EXPECTED_MS : task.expectedMs();
         return new TaskSpec(index, need, expectedMs, task.payload());
--- a/entry/src/main/java/org/boragegap/entry/StatusDesk.java
+++ b/entry/src/main/java/org/boragegap/entry/JobStatusLookup.java
@@ -14,26 +14,26 @@
 import org.boragegap.wire.PeerTransport;
 
 /** Finds out the state of a submission, here or on the VMs that may hold it. */
-final class StatusDesk {
-    private static final long WAIT_MS = 1_000;
+final class JobStatusLookup {
+    private static final long REPLY_TIMEOUT_MS = 1_000;
 
     private static final class Question {
-        private final Consumer<JobStatus> mDone;
-        private final AtomicInteger mMissing;
+        private final Consumer<JobStatus> mCallback;
+        private final AtomicInteger mRepliesPending;
 
         private Question(Consumer<JobStatus> done, int asked) {
-            mDone = done;
-            mMissing = new AtomicInteger(asked);
+            mCallback = done;
+            mRepliesPending = new AtomicInteger(asked);
         }
     }
 
     private final ScheduledExecutorService mTimer;
     private final Map<Long, Question> mQuestions = new ConcurrentHashMap<>();
-    private final AtomicLong mNextId = new AtomicLong(1);
+    private final AtomicLong mNextQuestionId = new AtomicLong(1);
     private ControlLoop mLoop;
     private PeerTransport mPeers;
 
-    StatusDesk(ScheduledExecutorService timer) {
+    JobStatusLookup(ScheduledExecutorService timer) {
         mTimer = timer;
     }
 
@@ -42,42 +42,45 @@
         mPeers = peers;
     }
 
-    void ask(SubmissionId id, Consumer<JobStatus> done) {
-        mLoop.ask(dispatcher -> status(dispatcher, id))
+    void find(SubmissionId id, Consumer<JobStatus> done) {
+        mLoop.query(dispatcher -> localStatus(dispatcher, id))
                 .thenAccept(
                         status -> {
                             if (status.known()) {
                                 done.accept(status);
                             } else {
-                                askPeers(id, done);
+                                findHolders(id, done);
                             }
                         });
     }
 
-    private static JobStatus status(Dispatcher dispatcher, SubmissionId id) {
+    private static JobStatus localStatus(Dispatcher dispatcher, SubmissionId id) {
         return new JobStatus(dispatcher.knows(id), dispatcher.answerTo(id));
     }
 
-    private void askPeers(SubmissionId id, Consumer<JobStatus> done) {
-        mLoop.ask(dispatcher -> dispatcher.likelyHolders(id))
-                .thenAccept(holders -> askEach(id, holders, done));
+    private void findHolders(SubmissionId id, Consumer<JobStatus> done) {
+        mLoop.query(dispatcher -> dispatcher.likelyHolders(id))
+                .thenAccept(holders -> askPeers(id, holders, done));
     }
 
-    private void askEach(SubmissionId id, Set<String> holders, Consumer<JobStatus> done) {
+    private void askPeers(SubmissionId id, Set<String> holders, Consumer<JobStatus> done) {
         if (holders.isEmpty()) {
             done.accept(JobStatus.UNKNOWN);
             return;
         }
-        long questionId = mNextId.getAndIncrement();
+        long questionId = mNextQuestionId.getAndIncrement();
         mQuestions.put(questionId, new Question(done, holders.size()));
         for (String address : holders) {
             mPeers.send(address, new PeerMessage.Ask(questionId, id));
         }
-        mTimer.schedule(() -> end(questionId, JobStatus.UNKNOWN), WAIT_MS, TimeUnit.MILLISECONDS);
+        mTimer.schedule(
+                () -> complete(questionId, JobStatus.UNKNOWN),
+                REPLY_TIMEOUT_MS,
+                TimeUnit.MILLISECONDS);
     }
 
     void onAsked(long link, PeerMessage.Ask ask) {
-        mLoop.ask(dispatcher -> status(dispatcher, ask.id()))
+        mLoop.query(dispatcher -> localStatus(dispatcher, ask.id()))
                 .thenAccept(
                         status ->
                                 mPeers.reply(
@@ -94,16 +97,16 @@
             return;
         }
         if (told.known()) {
-            end(told.questionId(), new JobStatus(true, told.answer()));
-        } else if (question.mMissing.decrementAndGet() == 0) {
-            end(told.questionId(), JobStatus.UNKNOWN);
+            complete(told.questionId(), new JobStatus(true, told.answer()));
+        } else if (question.mRepliesPending.decrementAndGet() == 0) {
+            complete(told.questionId(), JobStatus.UNKNOWN);
         }
     }
 
-    private void end(long questionId, JobStatus status) {
+    private void complete(long questionId, JobStatus status) {
         Question question = mQuestions.remove(questionId);
         if (question != null) {
-            question.mDone.accept(status);
+            question.mCallback.accept(status);
         }
     }
 }
--- a/entry/src/main/java/org/boragegap/entry/LogFollower.java
+++ b/entry/src/main/java/org/boragegap/entry/LogPoller.java
@@ -20,20 +20,20 @@
 import org.boragegap.platform.PlatformJson;
 
 /** Reads the platform's log from its oldest record on, again and again. */
-final class LogFollower {
-    private static final Logger sLog = LogManager.getLogger(LogFollower.class);
+final class LogPoller {
+    private static final Logger sLog = LogManager.getLogger(LogPoller.class);
 
     private final LogClient mLog;
     private final BundleChecker mChecker;
-    private final Consumer<Event> mEvents;
+    private final Consumer<Event> mEventSink;
     private final ScheduledExecutorService mTimer;
     private final long mPollMs;
-    private final AtomicBoolean mReading = new AtomicBoolean();
-    private volatile long mNext;
-    private volatile long mFirst;
-    private volatile boolean mStarted;
+    private final AtomicBoolean mReadInProgress = new AtomicBoolean();
+    private volatile long mNextOffset;
+    private volatile long mFirstOffset;
+    private volatile boolean mPageRead;
 
-    LogFollower(
+    LogPoller(
             LogClient log,
             BundleChecker checker,
             Consumer<Event> events,
@@ -41,7 +41,7 @@
             long pollMs) {
         mLog = log;
         mChecker = checker;
-        mEvents = events;
+        mEventSink = events;
         mTimer = timer;
         mPollMs = pollMs;
     }
@@ -52,17 +52,17 @@
 
     /** Reads now, for instance after an append. */
     void poll() {
-        if (!mReading.compareAndSet(false, true)) {
+        if (!mReadInProgress.compareAndSet(false, true)) {
             return;
         }
-        mLog.read(mNext, this::onPage);
+        mLog.read(mNextOffset, this::onPage);
     }
 
     private void onPage(Optional<LogPage> page) {
         try {
-            page.ifPresent(this::take);
+            page.ifPresent(this::processPage);
         } finally {
-            mReading.set(false);
+            mReadInProgress.set(false);
         }
         boolean more = page.isPresent() && page.get().next() < page.get().end();
         if (more) {
@@ -70,26 +70,26 @@
         }
     }
 
-    private void take(LogPage page) {
-        if (page.first() > mNext) {
-            if (mStarted) {
-                sLog.warn("records {} to {} of the log were missed", mNext, page.first());
+    private void processPage(LogPage page) {
+        if (page.first() > mNextOffset) {
+            if (mPageRead) {
+                sLog.warn("records {} to {} of the log were missed", mNextOffset, page.first());
             }
-            mFirst = page.first();
+            mFirstOffset = page.first();
         }
-        mStarted = true;
-        mNext = page.next();
+        mPageRead = true;
+        mNextOffset = page.next();
         List<LoggedView> views = new ArrayList<>();
         List<BundleRecord> bundles = new ArrayList<>();
         for (LogPage.Item item : page.records()) {
-            sort(page, item, views, bundles);
+            classifyRecord(page, item, views, bundles);
         }
         boolean atEnd = page.next() >= page.end();
-        LogBatch batch = new LogBatch(views, mFirst, mNext, page.nowMs(), atEnd);
-        mEvents.accept(new Event.LogRead(batch, bundles));
+        LogBatch batch = new LogBatch(views, mFirstOffset, mNextOffset, page.nowMs(), atEnd);
+        mEventSink.accept(new Event.LogRead(batch, bundles));
     }
 
-    private void sort(
+    private void classifyRecord(
             LogPage page, LogPage.Item item, List<LoggedView> views, List<BundleRecord> bundles) {
         try {
             LogEntry entry = PlatformJson.read(item.body(), LogEntry.class);
--- a/entry/src/main/java/org/boragegap/entry/Metrics.java
+++ b/entry/src/main/java/org/boragegap/entry/Metrics.java
@@ -14,13 +14,13 @@
 final class Metrics {
     private final PrometheusMeterRegistry mRegistry =
             new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
-    private volatile DispatcherState mState;
+    private volatile DispatcherState mLastState;
 
     Metrics() {
         new JvmMemoryMetrics().bindTo(mRegistry);
         for (Counters.Name name : Counters.Name.values()) {
             String metric = "boragegap." + name.name().toLowerCase(Locale.ROOT).replace('_', '.');
-            FunctionCounter.builder(metric, this, metrics -> metrics.count(name))
+            FunctionCounter.builder(metric, this, metrics -> metrics.counterValue(name))
                     .register(mRegistry);
         }
         gauge("boragegap.ready", state -> state.ready() ? 1 : 0);
@@ -42,21 +42,21 @@
     }
 
     private void gauge(String name, ToDoubleFunction<DispatcherState> value) {
-        Gauge.builder(name, this, metrics -> metrics.value(value)).register(mRegistry);
+        Gauge.builder(name, this, metrics -> metrics.gaugeValue(value)).register(mRegistry);
     }
 
-    private double value(ToDoubleFunction<DispatcherState> value) {
-        DispatcherState state = mState;
+    private double gaugeValue(ToDoubleFunction<DispatcherState> value) {
+        DispatcherState state = mLastState;
         return state == null ? 0 : value.applyAsDouble(state);
     }
 
-    private double count(Counters.Name name) {
-        DispatcherState state = mState;
+    private double counterValue(Counters.Name name) {
+        DispatcherState state = mLastState;
         return state == null ? 0 : state.counters().getOrDefault(name, 0L);
     }
 
-    void publish(DispatcherState state) {
-        mState = state;
+    void update(DispatcherState state) {
+        mLastState = state;
     }
 
     String scrape() {
--- a/entry/src/main/java/org/boragegap/entry/OperatorApi.java
+++ b/entry/src/main/java/org/boragegap/entry/OperatorApi.java
@@ -25,18 +25,18 @@
     private final String mKey;
     private final ControlLoop mLoop;
     private final Metrics mMetrics;
-    private final BundleDesk mBundles;
+    private final BundleApi mBundleApi;
     private final Runnable mDrain;
     private final ObjectMapper mMapper =
             new ObjectMapper()
                     .registerModule(new Jdk8Module())
                     .enable(SerializationFeature.INDENT_OUTPUT);
 
-    OperatorApi(String key, ControlLoop loop, Metrics metrics, BundleDesk bundles, Runnable drain) {
+    OperatorApi(String key, ControlLoop loop, Metrics metrics, BundleApi bundles, Runnable drain) {
         mKey = key;
         mLoop = loop;
         mMetrics = metrics;
-        mBundles = bundles;
+        mBundleApi = bundles;
         mDrain = drain;
     }
 
@@ -45,16 +45,16 @@
         if (route.equals("GET /healthz")) {
             in.reply(OK, "{\"healthy\":true}");
         } else if (route.equals("GET /readyz")) {
-            ready(in);
-        } else if (!allowed(in)) {
+            handleReadiness(in);
+        } else if (!isAuthorized(in)) {
             String detail = "send the operators' key as a bearer token";
-            CallerApi.problem(in, Problem.plain(UNAUTHORIZED, "Key needed", detail));
+            CallerApi.replyProblem(in, Problem.ofStatus(UNAUTHORIZED, "Key needed", detail));
         } else {
-            operate(in, route);
+            handleAuthorized(in, route);
         }
     }
 
-    private boolean allowed(IncomingRequest in) {
+    private boolean isAuthorized(IncomingRequest in) {
         if (mKey.isEmpty()) {
             return true;
         }
@@ -63,33 +63,35 @@
         return MessageDigest.isEqual(expected, given);
     }
 
-    private void operate(IncomingRequest in, String route) {
+    private void handleAuthorized(IncomingRequest in, String route) {
         switch (route) {
             case "GET /metrics" -> in.reply(OK, "text/plain", Map.of(), mMetrics.scrape());
-            case "GET /dump" -> dump(in);
+            case "GET /dump" -> handleDump(in);
             case "POST /drain" -> {
                 mDrain.run();
                 in.reply(ACCEPTED, "{\"state\":\"draining\"}");
             }
-            case "POST /loglevel" -> logLevel(in);
-            case "POST /v1/bundles" -> mBundles.publish(in);
-            case "GET /v1/bundles" -> mBundles.status(in);
-            default -> CallerApi.problem(in, Problem.plain(NOT_FOUND, "Not found", "no such path"));
+            case "POST /loglevel" -> handleLogLevel(in);
+            case "POST /v1/bundles" -> mBundleApi.publish(in);
+            case "GET /v1/bundles" -> mBundleApi.status(in);
+            default ->
+                    CallerApi.replyProblem(
+                            in, Problem.ofStatus(NOT_FOUND, "Not found", "no such path"));
         }
     }
 
-    private void ready(IncomingRequest in) {
-        mLoop.ask(dispatcher -> dispatcher.ready(ControlLoop.clock()))
+    private void handleReadiness(IncomingRequest in) {
+        mLoop.query(dispatcher -> dispatcher.ready(ControlLoop.readClock()))
                 .thenAccept(
                         ready -> in.reply(ready ? OK : UNAVAILABLE, "{\"ready\":" + ready + "}"));
     }
 
-    private void dump(IncomingRequest in) {
-        mLoop.ask(dispatcher -> dispatcher.state(ControlLoop.clock()))
-                .thenAccept(state -> in.reply(OK, json(state)));
+    private void handleDump(IncomingRequest in) {
+        mLoop.query(dispatcher -> dispatcher.state(ControlLoop.readClock()))
+                .thenAccept(state -> in.reply(OK, toJson(state)));
     }
 
-    private String json(DispatcherState state) {
+    private String toJson(DispatcherState state) {
         try {
             return mMapper.writeValueAsString(state);
         } catch (JsonProcessingException e) {
@@ -97,11 +99,11 @@
         }
     }
 
-    private static void logLevel(IncomingRequest in) {
+    private static void handleLogLevel(IncomingRequest in) {
         Optional<Level> level = in.query("level").map(name -> Level.toLevel(name, null));
         if (level.isEmpty()) {
             String detail = "level: expected ERROR, WARN, INFO or DEBUG";
-            CallerApi.problem(in, Problem.plain(BAD_REQUEST, "Bad request", detail));
+            CallerApi.replyProblem(in, Problem.ofStatus(BAD_REQUEST, "Bad request", detail));
             return;
         }
         Configurator.setRootLevel(level.get());
--- a/entry/src/main/java/org/boragegap/entry/PlatformValues.java
+++ b/entry/src/main/java/org/boragegap/entry/PlatformSettings.java
@@ -13,21 +13,21 @@
  * among targets depended on it. So a value without which no promise is broken is replaced; the
  * addresses that a VM can't serve without still end its start.
  */
-final class PlatformValues {
+final class PlatformSettings {
     /** Stands in for the names of failure domains, which jobs in cells don't depend on. */
-    private static final String NO_NAME = "unknown";
+    private static final String UNKNOWN_NAME = "unknown";
 
     /** Listens nowhere, or calls nobody: not used where the platform has a store. */
     private static final String NO_ADDRESS = "";
 
-    private static final Map<Setting, String> STAND_INS = standIns();
+    private static final Map<Setting, String> REPLACEMENTS = createReplacements();
 
-    private PlatformValues() {}
+    private PlatformSettings() {}
 
-    private static Map<Setting, String> standIns() {
+    private static Map<Setting, String> createReplacements() {
         Map<Setting, String> standIns = new EnumMap<>(Setting.class);
-        standIns.put(Setting.FAILURE_DOMAIN, NO_NAME);
-        standIns.put(Setting.FAILURE_DOMAINS, NO_NAME);
+        standIns.put(Setting.FAILURE_DOMAIN, UNKNOWN_NAME);
+        standIns.put(Setting.FAILURE_DOMAINS, UNKNOWN_NAME);
         standIns.put(Setting.OPERATOR_ADDRESS, NO_ADDRESS);
         standIns.put(Setting.METRICS_ADDRESS, NO_ADDRESS);
         standIns.put(Setting.LOG_ADDRESS, NO_ADDRESS);
@@ -44,20 +44,20 @@
     }
 
     /** True when a strange value of this setting, or none, is replaced. */
-    static boolean replaces(Setting setting) {
-        return STAND_INS.containsKey(setting);
+    static boolean isReplaceable(Setting setting) {
+        return REPLACEMENTS.containsKey(setting);
     }
 
     /** What is used when the value can't be. */
-    static String standIn(Setting setting) {
-        return STAND_INS.get(setting);
+    static String replacement(Setting setting) {
+        return REPLACEMENTS.get(setting);
     }
 
     /**
      * The value in a form that the setting takes: a number with a fraction is rounded up where
      * whole numbers are expected, as a lease that counts as longer than it is breaks nothing.
      */
-    static Optional<String> usable(Setting setting, String value) {
+    static Optional<String> normalize(Setting setting, String value) {
         if (setting.type().accepts(value)) {
             return Optional.of(value);
         }
--- a/entry/src/main/java/org/boragegap/entry/Problem.java
+++ b/entry/src/main/java/org/boragegap/entry/Problem.java
@@ -27,7 +27,7 @@
         Long retryAfterMs) {
     private static final int BAD_REQUEST = 400;
 
-    static Problem of(String id, Answer.Failed failed) {
+    static Problem ofFailure(String id, Answer.Failed failed) {
         FailureKind kind = failed.kind();
         Long retryAfterMs = failed.retryAfterMs() == 0 ? null : failed.retryAfterMs();
         return new Problem(
@@ -51,7 +51,7 @@
                 null);
     }
 
-    static Problem plain(int status, String title, String detail) {
+    static Problem ofStatus(int status, String title, String detail) {
         return new Problem("about:blank", title, status, detail, null, null, null);
     }
 
--- a/entry/src/main/java/org/boragegap/entry/Setting.java
+++ b/entry/src/main/java/org/boragegap/entry/Setting.java
@@ -52,24 +52,30 @@
     GROUP_LEASE_MS(
             "platform",
             "group_lease_ms",
-            SettingType.of(100, 60_000),
+            SettingType.integer(100, 60_000),
             "ms",
             "1000",
             "how long the store keeps a silent VM in the group"),
     TARGET_LEASE_MS(
             "platform",
             "target_lease_ms",
-            SettingType.of(100, 60_000),
+            SettingType.integer(100, 60_000),
             "ms",
             "1000",
             "longest lease that a target grants"),
-    LOG_POLL_MS("platform", "log_poll_ms", SettingType.of(20, 10_000), "ms", "500", "log reads"),
+    LOG_POLL_MS(
+            "platform", "log_poll_ms", SettingType.integer(20, 10_000), "ms", "500", "log reads"),
     VM_LIST_POLL_MS(
-            "platform", "vm_list_poll_ms", SettingType.of(100, 60_000), "ms", "1000", "list reads"),
+            "platform",
+            "vm_list_poll_ms",
+            SettingType.integer(100, 60_000),
+            "ms",
+            "1000",
+            "list reads"),
     LOG_RETENTION_MS(
             "platform",
             "log_retention_ms",
-            SettingType.of(10_000, 31_536_000_000L),
+            SettingType.integer(10_000, 31_536_000_000L),
             "ms",
             "3600000",
             "how long the log keeps a record"),
@@ -82,17 +88,29 @@
             "",
             "",
             "name=key, ... (Ed25519, base64 X.509)"),
-    SIGNATURES("bundles", "signatures", SettingType.of(0, 16), "", "2", "signers that must agree"),
+    SIGNATURES(
+            "bundles",
+            "signatures",
+            SettingType.integer(0, 16),
+            "",
+            "2",
+            "signers that must agree"),
     BODY_BYTES(
             "limits",
             "body_bytes",
-            SettingType.of(1_024, 16_777_216),
+            SettingType.integer(1_024, 16_777_216),
             "bytes",
             "2097152",
             "largest request body"),
-    TASKS_PER_JOB("limits", "tasks_per_job", SettingType.of(1, 10_000), "", "360", "tasks a job"),
+    TASKS_PER_JOB(
+            "limits", "tasks_per_job", SettingType.integer(1, 10_000), "", "360", "tasks a job"),
     QUEUED_TASKS(
-            "limits", "queued_tasks", SettingType.of(1, 1_000_000), "", "20000", "tasks waiting"),
+            "limits",
+            "queued_tasks",
+            SettingType.integer(1, 1_000_000),
+            "",
+            "20000",
+            "tasks waiting"),
     REFUSE_HOPELESS(
             "limits",
             "refuse_hopeless",
@@ -103,44 +121,49 @@
     CONNECTIONS(
             "limits",
             "connections_per_target",
-            SettingType.of(1, 1_024),
+            SettingType.integer(1, 1_024),
             "",
             "64",
             "connections to one target"),
     ID_WINDOW_MS(
             "claims",
             "id_window_ms",
-            SettingType.of(10_000, 86_400_000),
+            SettingType.integer(10_000, 86_400_000),
             "ms",
             "300000",
             "how long an id is valid"),
     CLOCK_SKEW_MS(
             "claims",
             "clock_skew_ms",
-            SettingType.of(1, 60_000),
+            SettingType.integer(1, 60_000),
             "ms",
             "1000",
             "bound between two clocks"),
     CLAIM_TIMEOUT_MS(
             "claims",
             "claim_timeout_ms",
-            SettingType.of(50, 60_000),
+            SettingType.integer(50, 60_000),
             "ms",
             "4000",
             "wait for a claim"),
     RESEND_MS(
-            "claims", "resend_ms", SettingType.of(10, 10_000), "ms", "200", "pause between tries"),
+            "claims",
+            "resend_ms",
+            SettingType.integer(10, 10_000),
+            "ms",
+            "200",
+            "pause between tries"),
     SUSPECT_MS(
             "claims",
             "suspect_ms",
-            SettingType.of(100, 60_000),
+            SettingType.integer(100, 60_000),
             "ms",
             "1000",
             "silence before suspicion"),
     ANSWER_KEEP_MS(
             "claims",
             "answer_keep_ms",
-            SettingType.of(0, 3_600_000),
+            SettingType.integer(0, 3_600_000),
             "ms",
             "60000",
             "answers kept for resubmissions"),
@@ -162,13 +185,19 @@
     START_GRACE_MS(
             "policy",
             "start_grace_ms",
-            SettingType.of(50, 60_000),
+            SettingType.integer(50, 60_000),
             "ms",
             "1000",
             "from decision to sending"),
     RETRY_PERCENT(
-            "policy", "retry_percent", SettingType.of(0, 100), "%", "10", "retries per first try"),
-    DRAIN_MS("drain", "bound_ms", SettingType.of(0, 3_600_000), "ms", "30000", "longest drain"),
+            "policy",
+            "retry_percent",
+            SettingType.integer(0, 100),
+            "%",
+            "10",
+            "retries per first try"),
+    DRAIN_MS(
+            "drain", "bound_ms", SettingType.integer(0, 3_600_000), "ms", "30000", "longest drain"),
     LOG_LEVEL(
             "logging",
             "level",
@@ -181,8 +210,8 @@
     private final String mKey;
     private final SettingType mType;
     private final String mUnit;
-    private final String mFallback;
-    private final String mMeaning;
+    private final String mDefault;
+    private final String mDescription;
 
     Setting(
             String section,
@@ -195,8 +224,8 @@
         mKey = key;
         mType = type;
         mUnit = unit;
-        mFallback = fallback;
-        mMeaning = meaning;
+        mDefault = fallback;
+        mDescription = meaning;
     }
 
     /** Section and key, as {@code section.key}. */
@@ -225,13 +254,13 @@
     }
 
     /** Value when the file names none; empty when it must. */
-    public Optional<String> fallback() {
-        return Optional.ofNullable(mFallback);
+    public Optional<String> defaultValue() {
+        return Optional.ofNullable(mDefault);
     }
 
     /** What it is, in a few words. */
-    public String meaning() {
-        return mMeaning;
+    public String description() {
+        return mDescription;
     }
 
     /** The setting with this section and key. */
@@ -242,17 +271,17 @@
     }
 
     /** The table of all settings, as Markdown. */
-    public static String table() {
+    public static String markdownTable() {
         StringBuilder table =
                 new StringBuilder("| setting | values | unit | default | meaning |\n");
         table.append("| --- | --- | --- | --- | --- |\n");
         for (Setting setting : values()) {
-            String fallback = setting.fallback().orElse("(required)");
+            String fallback = setting.defaultValue().orElse("(required)");
             table.append("| `").append(setting.path()).append("` | ");
             table.append(setting.type().expected()).append(" | ");
             table.append(setting.unit()).append(" | ");
             table.append(fallback.isEmpty() ? "(none)" : fallback).append(" | ");
-            table.append(setting.meaning()).append(" |\n");
+            table.append(setting.description()).append(" |\n");
         }
         return table.toString();
     }
--- a/entry/src/main/java/org/boragegap/entry/SettingType.java
+++ b/entry/src/main/java/org/boragegap/entry/SettingType.java
@@ -7,7 +7,7 @@
 public final class SettingType {
     private static final Pattern NAME_PATTERN = Pattern.compile("[a-z0-9-]{1,32}");
     private static final Pattern ADDRESS_PATTERN = Pattern.compile("[0-9A-Za-z.-]+:[0-9]{1,5}");
-    private static final int MOST_PORT = 65_535;
+    private static final int MAX_PORT = 65_535;
 
     /** A short name. */
     public static final SettingType NAME =
@@ -15,7 +15,7 @@
 
     /** Short names, separated by commas. */
     public static final SettingType NAMES =
-            new SettingType("names separated by commas", SettingType::areNames);
+            new SettingType("names separated by commas", SettingType::isNameList);
 
     /** A host and a port. */
     public static final SettingType ADDRESS = new SettingType("host:port", SettingType::isAddress);
@@ -35,7 +35,7 @@
     }
 
     /** A whole number within bounds. */
-    public static SettingType of(long least, long most) {
+    public static SettingType integer(long least, long most) {
         return new SettingType(
                 least + " to " + most,
                 value -> {
@@ -68,7 +68,7 @@
         return new SettingType(String.join(", ", words), allowed::contains);
     }
 
-    private static boolean areNames(String value) {
+    private static boolean isNameList(String value) {
         for (String name : value.split(",")) {
             if (!NAME_PATTERN.matcher(name.trim()).matches()) {
                 return false;
@@ -82,7 +82,7 @@
             return false;
         }
         int port = Integer.parseInt(value.substring(value.lastIndexOf(':') + 1));
-        return port > 0 && port <= MOST_PORT;
+        return port > 0 && port <= MAX_PORT;
     }
 
     /** What is expected, for tables and errors. */
--- a/entry/src/main/java/org/boragegap/entry/Settings.java
+++ b/entry/src/main/java/org/boragegap/entry/Settings.java
@@ -16,53 +16,53 @@
     private static final int MILLIS_PER_CORE = 1_000;
 
     private final Map<Setting, String> mValues;
-    private final List<String> mReplaced;
+    private final List<String> mReplacedValues;
 
     private Settings(Map<Setting, String> values, List<String> replaced) {
         mValues = values;
-        mReplaced = replaced;
+        mReplacedValues = replaced;
     }
 
     /** What became of reading settings. */
-    public sealed interface Read {
+    public sealed interface ReadResult {
 
         /**
          * All settings are usable.
          *
          * @param settings the settings
          */
-        record Good(Settings settings) implements Read {}
+        record Valid(Settings settings) implements ReadResult {}
 
         /**
          * Some are not.
          *
          * @param problems one line each
          */
-        record Bad(List<String> problems) implements Read {}
+        record Invalid(List<String> problems) implements ReadResult {}
     }
 
     /** Reads an INI file. */
-    public static Read read(Path file) {
+    public static ReadResult read(Path file) {
         try {
             return parse(file.toString(), Files.readString(file));
         } catch (IOException e) {
-            return new Read.Bad(List.of(file + ": can't be read: " + e.getMessage()));
+            return new ReadResult.Invalid(List.of(file + ": can't be read: " + e.getMessage()));
         }
     }
 
     /** Reads INI text; {@code name} is used in errors. */
-    public static Read parse(String name, String text) {
+    public static ReadResult parse(String name, String text) {
         INIConfiguration ini = new INIConfiguration();
         try (Reader reader = new StringReader(text)) {
             ini.read(reader);
         } catch (ConfigurationException | IOException e) {
-            return new Read.Bad(List.of(name + ": not an INI file: " + e.getMessage()));
+            return new ReadResult.Invalid(List.of(name + ": not an INI file: " + e.getMessage()));
         }
         SettingsReader reader = new SettingsReader(name, ini);
         reader.read();
         return reader.problems().isEmpty()
-                ? new Read.Good(new Settings(reader.values(), reader.replaced()))
-                : new Read.Bad(reader.problems());
+                ? new ReadResult.Valid(new Settings(reader.values(), reader.replacedValues()))
+                : new ReadResult.Invalid(reader.problems());
     }
 
     static List<String> split(String value) {
@@ -70,8 +70,8 @@
     }
 
     /** Values of the platform that can't be used and what stands in for them, a line each. */
-    public List<String> replaced() {
-        return mReplaced;
+    public List<String> replacedValues() {
+        return mReplacedValues;
     }
 
     /** A value as text. */
--- a/entry/src/main/java/org/boragegap/entry/SettingsReader.java
+++ b/entry/src/main/java/org/boragegap/entry/SettingsReader.java
@@ -14,23 +14,23 @@
  *
  * <p>Whatever an operator writes is checked strictly. In a file that names the store of the users'
  * platform, the values that the platform fills in are replaced if they can't be used and no promise
- * needs them; see {@link PlatformValues}.
+ * needs them; see {@link PlatformSettings}.
  */
 final class SettingsReader {
-    private final String mName;
+    private final String mSourceName;
     private final INIConfiguration mIni;
-    private final boolean mOfPlatform;
+    private final boolean mHasStore;
     private final Map<Setting, String> mValues = new EnumMap<>(Setting.class);
     private final List<String> mProblems = new ArrayList<>();
-    private final List<String> mReplaced = new ArrayList<>();
+    private final List<String> mReplacedValues = new ArrayList<>();
 
     SettingsReader(String name, INIConfiguration ini) {
-        mName = name;
+        mSourceName = name;
         mIni = ini;
-        mOfPlatform = namesStore(ini);
+        mHasStore = hasStore(ini);
     }
 
-    private static boolean namesStore(INIConfiguration ini) {
+    private static boolean hasStore(INIConfiguration ini) {
         Setting store = Setting.STORE_ADDRESS;
         Object value = ini.getSection(store.section()).getProperty(store.key());
         return value != null && !value.toString().trim().isEmpty();
@@ -46,8 +46,8 @@
     }
 
     /** One line for each value that was replaced. */
-    List<String> replaced() {
-        return mReplaced;
+    List<String> replacedValues() {
+        return mReplacedValues;
     }
 
     void read() {
@@ -56,10 +56,10 @@
         }
         for (Setting setting : Setting.values()) {
             if (!mValues.containsKey(setting)) {
-                fillIn(setting);
+                applyDefault(setting);
             }
         }
-        checkTogether();
+        checkFailureDomain();
     }
 
     private void readSection(String section, SubnodeConfiguration keys) {
@@ -68,57 +68,58 @@
             String value = String.valueOf(keys.getProperty(key)).trim();
             Optional<Setting> setting = Setting.find(section, key.replace("..", "."));
             if (setting.isPresent()) {
-                take(setting.get(), value);
+                readValue(setting.get(), value);
             } else {
-                mProblems.add(mName + ": [" + section + "] " + key + ": unknown key");
+                mProblems.add(mSourceName + ": [" + section + "] " + key + ": unknown key");
             }
         }
     }
 
-    private void take(Setting setting, String value) {
-        boolean replaces = mOfPlatform && PlatformValues.replaces(setting);
+    private void readValue(Setting setting, String value) {
+        boolean replaces = mHasStore && PlatformSettings.isReplaceable(setting);
         Optional<String> usable =
                 replaces
-                        ? PlatformValues.usable(setting, value)
+                        ? PlatformSettings.normalize(setting, value)
                         : Optional.of(value).filter(setting.type()::accepts);
         if (usable.isPresent()) {
             mValues.put(setting, usable.get());
         } else if (replaces) {
             replace(setting, " = " + value + ": expected " + setting.type().expected());
         } else {
-            mProblems.add(line(setting, " = " + value + ": expected " + setting.type().expected()));
+            mProblems.add(
+                    message(setting, " = " + value + ": expected " + setting.type().expected()));
         }
     }
 
     private void replace(Setting setting, String problem) {
-        String standIn = PlatformValues.standIn(setting);
+        String standIn = PlatformSettings.replacement(setting);
         mValues.put(setting, standIn);
         String used = standIn.isEmpty() ? "goes without" : "uses " + standIn;
-        mReplaced.add(line(setting, problem + ", " + used));
+        mReplacedValues.add(message(setting, problem + ", " + used));
     }
 
-    private void fillIn(Setting setting) {
-        if (setting.fallback().isPresent()) {
-            mValues.put(setting, setting.fallback().get());
-        } else if (mOfPlatform && PlatformValues.replaces(setting)) {
+    private void applyDefault(Setting setting) {
+        if (setting.defaultValue().isPresent()) {
+            mValues.put(setting, setting.defaultValue().get());
+        } else if (mHasStore && PlatformSettings.isReplaceable(setting)) {
             replace(setting, ": is missing");
         } else if (mProblems.stream().noneMatch(p -> p.contains(setting.key() + " = "))) {
-            mProblems.add(line(setting, ": is required"));
+            mProblems.add(message(setting, ": is required"));
         }
     }
 
-    private String line(Setting setting, String rest) {
-        return mName + ": [" + setting.section() + "] " + setting.key() + rest;
+    private String message(Setting setting, String rest) {
+        return mSourceName + ": [" + setting.section() + "] " + setting.key() + rest;
     }
 
-    private void checkTogether() {
+    private void checkFailureDomain() {
         String domain = mValues.get(Setting.FAILURE_DOMAIN);
         String domains = mValues.get(Setting.FAILURE_DOMAINS);
         // Where jobs run in cells nothing depends on the list.
-        boolean both = !mOfPlatform && domain != null && domains != null;
+        boolean both = !mHasStore && domain != null && domains != null;
         if (both && !Settings.split(domains).contains(domain)) {
             mProblems.add(
-                    line(
+                    message(
                             Setting.FAILURE_DOMAIN,
                             " = " + domain + ": expected one of [deployment] failure_domains"));
         }
--- a/entry/src/main/java/org/boragegap/entry/cell/CellNode.java
+++ b/entry/src/main/java/org/boragegap/entry/cell/CellNode.java
@@ -110,7 +110,7 @@
                         settings.port(Setting.PEER_ADDRESS),
                         mSelf,
                         this::received);
-        mMetrics.settingsReplaced(settings.replaced().size());
+        mMetrics.settingsReplaced(settings.replacedValues().size());
         mThread =
                 new ControlThread(
                         () -> mCells.tick(), () -> mCells.tickIntervalMs(), mPeers::flush);
--- a/entry/src/test/java/org/boragegap/entry/BodyReaderProperties.java
+++ b/entry/src/test/java/org/boragegap/entry/JobBodyParserProperties.java
@@ -11,42 +11,44 @@
 import org.junit.jupiter.api.Test;
 
 /** Bodies that callers send: good ones become submissions, all others one clear error. */
-final class BodyReaderProperties {
-    private static final String GOOD =
+final class JobBodyParserProperties {
+    private static final String VALID_BODY =
             "{\"team\":\"t\",\"kind\":\"k\",\"tasks\":[{\"cpuMillis\":1,\"payload\":\"p\"}]}";
-    private static final UUID MINTED = UUID.fromString("01a23802-8786-7626-9936-5e40b504384d");
+    private static final UUID NEW_ID = UUID.fromString("01a23802-8786-7626-9936-5e40b504384d");
 
-    private final BodyReader mReader =
-            new BodyReader(3, () -> SubmissionId.mint("fd", "127.0.0.1:1", MINTED));
+    private final JobBodyParser mParser =
+            new JobBodyParser(3, () -> SubmissionId.mint("fd", "127.0.0.1:1", NEW_ID));
 
     private String errorOf(String body) {
         try {
-            mReader.read(body, Optional.empty(), Optional.empty(), 0);
+            mParser.parse(body, Optional.empty(), Optional.empty(), 0);
             return "";
-        } catch (BodyReader.BadBodyException e) {
+        } catch (JobBodyParser.InvalidBodyException e) {
             return e.getMessage();
         }
     }
 
     @Property(tries = 2_000, seed = "11")
-    void anyTextIsASubmissionOrOneLine(@ForAll @StringLength(max = 300) String text) {
+    void anyTextIsASubmissionOrAOneLineError(@ForAll @StringLength(max = 300) String text) {
         assertThat(errorOf(text)).doesNotContain("\n");
     }
 
     @Property(tries = 2_000, seed = "12")
-    void aGoodBodyWithOneCharacterChangedIsASubmissionOrOneLine(
+    void aValidBodyWithOneCharacterChangedIsASubmissionOrAOneLineError(
             @ForAll int position, @ForAll char replacement) {
-        int index = Math.floorMod(position, GOOD.length());
-        String changed = GOOD.substring(0, index) + replacement + GOOD.substring(index + 1);
+        int index = Math.floorMod(position, VALID_BODY.length());
+        String changed =
+                VALID_BODY.substring(0, index) + replacement + VALID_BODY.substring(index + 1);
         assertThat(errorOf(changed)).doesNotContain("\n");
     }
 
     @Property(tries = 2_000, seed = "13")
-    void hostileIdsAreRefused(@ForAll @StringLength(max = 200) String id) {
+    void malformedIdsAreRejected(@ForAll @StringLength(max = 200) String id) {
         try {
-            BodyReader.Good good = mReader.read(GOOD, Optional.empty(), Optional.of(id), 0);
+            JobBodyParser.ParsedJob good =
+                    mParser.parse(VALID_BODY, Optional.empty(), Optional.of(id), 0);
             assertThat(good.submission().id().text()).matches("[A-Za-z0-9._:~-]{1,128}");
-        } catch (BodyReader.BadBodyException e) {
+        } catch (JobBodyParser.InvalidBodyException e) {
             assertThat(e).hasMessageThat().startsWith("id: ");
         }
     }
@@ -58,21 +60,23 @@
         assertThat(errorOf("{\"kind\":\"k\"}")).startsWith("team: ");
         assertThat(errorOf("{\"team\":\"t\",\"kind\":\"k\",\"tasks\":[]}"))
                 .isEqualTo("tasks: expected 1 to 3 tasks");
-        assertThat(errorOf(GOOD.replace("\"cpuMillis\":1", "\"cpuMillis\":-1")))
+        assertThat(errorOf(VALID_BODY.replace("\"cpuMillis\":1", "\"cpuMillis\":-1")))
                 .startsWith("tasks[0].cpuMillis: expected");
-        assertThat(errorOf(GOOD.replace("\"team\"", "\"tean\""))).startsWith("body: ");
-        assertThat(errorOf(GOOD.replace("\"p\"", "[".repeat(40)))).startsWith("body: ");
+        assertThat(errorOf(VALID_BODY.replace("\"team\"", "\"tean\""))).startsWith("body: ");
+        assertThat(errorOf(VALID_BODY.replace("\"p\"", "[".repeat(40)))).startsWith("body: ");
     }
 
     @Test
     void aResubmissionHasTheSameFingerprintWhateverItsTimeout() throws Exception {
-        String longer = GOOD.replace("{\"team\"", "{\"timeoutMs\":5,\"team\"");
-        long first = fingerprint(GOOD);
+        String longer = VALID_BODY.replace("{\"team\"", "{\"timeoutMs\":5,\"team\"");
+        long first = fingerprint(VALID_BODY);
         assertThat(fingerprint(longer)).isEqualTo(first);
-        assertThat(fingerprint(GOOD.replace("\"p\"", "\"q\""))).isNotEqualTo(first);
+        assertThat(fingerprint(VALID_BODY.replace("\"p\"", "\"q\""))).isNotEqualTo(first);
     }
 
     private long fingerprint(String body) throws Exception {
-        return mReader.read(body, Optional.empty(), Optional.empty(), 0).submission().fingerprint();
+        return mParser.parse(body, Optional.empty(), Optional.empty(), 0)
+                .submission()
+                .fingerprint();
     }
 }
--- a/entry/src/test/java/org/boragegap/entry/PlatformValuesTest.java
+++ b/entry/src/test/java/org/boragegap/entry/PlatformSettingsTest.java
@@ -17,11 +17,12 @@
  * where a whole number was expected, every VM ended its start with an error, and was started again
  * to the same end. No promise depends on the factor.
  */
-final class PlatformValuesTest {
+final class PlatformSettingsTest {
     private static final String TEMPLATE = "../deploy/entry.ini";
 
     /** What the platform fills in, as its pages give it for the deployments of today. */
-    private static Map<String, String> sheet(String domain, String cores, String farFactor) {
+    private static Map<String, String> platformValues(
+            String domain, String cores, String farFactor) {
         Map<String, String> values = new LinkedHashMap<>();
         values.put("{{Zone}}", domain);
         values.put("{{Ip}}", "10.1.0.13");
@@ -39,20 +40,20 @@
         return values;
     }
 
-    private static final List<Map<String, String>> SHEETS =
+    private static final List<Map<String, String>> DEPLOYMENTS =
             List.of(
-                    sheet("burnaby-a", "1", "3"),
-                    sheet("viti-levu", "1", "2"),
-                    sheet("lisen", "1", "3"),
-                    sheet("coquitlam-a", "2", "1.5"),
-                    sheet("surrey-a", "1.5", "1.25"));
+                    platformValues("burnaby-a", "1", "3"),
+                    platformValues("viti-levu", "1", "2"),
+                    platformValues("lisen", "1", "3"),
+                    platformValues("coquitlam-a", "2", "1.5"),
+                    platformValues("surrey-a", "1.5", "1.25"));
 
     /** What a value may turn into: absent, of another kind, out of every range, a decimal. */
-    private static final List<String> STRANGE =
+    private static final List<String> UNEXPECTED_VALUES =
             List.of("", "1.5", "1000.0", "0", "-1", "1e30", "NaN", "null", "[1, 2]", "Größe");
 
     /** Placeholders without which a VM can't listen, be found, or reach the store. */
-    private static final List<String> NEEDED =
+    private static final List<String> REQUIRED_PLACEHOLDERS =
             List.of(
                     "{{Ip}}",
                     "{{InternalPortRange.0}}",
@@ -60,7 +61,8 @@
                     "{{Listen.Ready}}",
                     "{{platform.Address}}");
 
-    private static Settings.Read render(Map<String, String> values) throws IOException {
+    private static Settings.ReadResult renderAndParse(Map<String, String> values)
+            throws IOException {
         String text = Files.readString(Path.of(TEMPLATE));
         for (Map.Entry<String, String> value : values.entrySet()) {
             text = text.replace(value.getKey(), value.getValue());
@@ -69,10 +71,12 @@
         return Settings.parse("boot", text);
     }
 
-    private static Settings good(Map<String, String> values) throws IOException {
-        Settings.Read read = render(values);
-        assertWithMessage("%s: %s", values, read).that(read).isInstanceOf(Settings.Read.Good.class);
-        return ((Settings.Read.Good) read).settings();
+    private static Settings parseValid(Map<String, String> values) throws IOException {
+        Settings.ReadResult read = renderAndParse(values);
+        assertWithMessage("%s: %s", values, read)
+                .that(read)
+                .isInstanceOf(Settings.ReadResult.Valid.class);
+        return ((Settings.ReadResult.Valid) read).settings();
     }
 
     private static Map<String, String> with(Map<String, String> sheet, String name, String value) {
@@ -82,70 +86,75 @@
     }
 
     @Nested
-    final class AsTheSheetsHaveThem {
+    final class KnownDeployments {
         @Test
-        void allStartAndNothingIsReplaced() throws IOException {
-            for (Map<String, String> sheet : SHEETS) {
-                assertThat(good(sheet).replaced()).isEmpty();
+        void allAreValidAndNothingIsReplaced() throws IOException {
+            for (Map<String, String> sheet : DEPLOYMENTS) {
+                assertThat(parseValid(sheet).replacedValues()).isEmpty();
             }
         }
 
         @Test
-        void aFactorWithAFractionIsTaken() throws IOException {
-            assertThat(good(SHEETS.get(3)).decimal(Setting.FAR_FACTOR)).isEqualTo(1.5);
+        void aFractionalFactorIsAccepted() throws IOException {
+            assertThat(parseValid(DEPLOYMENTS.get(3)).decimal(Setting.FAR_FACTOR)).isEqualTo(1.5);
         }
     }
 
     @Nested
-    final class Strange {
+    final class UnexpectedValues {
         @Test
-        void whatNoPromiseNeedsNeverEndsTheStart() throws IOException {
-            for (Map<String, String> sheet : SHEETS) {
+        void anUnexpectedReplaceableValueNeverPreventsTheStart() throws IOException {
+            for (Map<String, String> sheet : DEPLOYMENTS) {
                 for (String name : sheet.keySet()) {
-                    for (String value : NEEDED.contains(name) ? List.<String>of() : STRANGE) {
-                        good(with(sheet, name, value));
+                    for (String value :
+                            REQUIRED_PLACEHOLDERS.contains(name)
+                                    ? List.<String>of()
+                                    : UNEXPECTED_VALUES) {
+                        parseValid(with(sheet, name, value));
                     }
                 }
             }
         }
 
         @Test
-        void whatAVmCannotServeWithoutEndsItWithOneLine() throws IOException {
-            for (String name : NEEDED) {
-                Settings.Read read = render(with(SHEETS.get(0), name, "no address"));
-                List<String> problems = ((Settings.Read.Bad) read).problems();
+        void anInvalidRequiredAddressIsOneError() throws IOException {
+            for (String name : REQUIRED_PLACEHOLDERS) {
+                Settings.ReadResult read =
+                        renderAndParse(with(DEPLOYMENTS.get(0), name, "no address"));
+                List<String> problems = ((Settings.ReadResult.Invalid) read).problems();
                 assertWithMessage("%s", problems).that(problems).hasSize(1);
                 assertThat(problems.get(0)).contains("expected host:port");
             }
         }
 
         @Test
-        void aReplacedValueIsNamedWithWhatIsUsed() throws IOException {
-            Settings settings = good(with(SHEETS.get(0), "{{Bounds.FarFactor}}", "-1"));
-            assertThat(settings.replaced())
+        void aReplacedValueIsReportedWithItsReplacement() throws IOException {
+            Settings settings = parseValid(with(DEPLOYMENTS.get(0), "{{Bounds.FarFactor}}", "-1"));
+            assertThat(settings.replacedValues())
                     .containsExactly(
                             "boot: [policy] far_factor = -1: expected 1.0 to 100.0, uses 2");
             assertThat(settings.decimal(Setting.FAR_FACTOR)).isEqualTo(2);
         }
 
         @Test
-        void aLeaseWithAFractionIsRoundedUp() throws IOException {
-            Settings settings = good(with(SHEETS.get(0), "{{Bounds.HoldMaxMs}}", "999.2"));
+        void aFractionalLeaseIsRoundedUp() throws IOException {
+            Settings settings =
+                    parseValid(with(DEPLOYMENTS.get(0), "{{Bounds.HoldMaxMs}}", "999.2"));
             assertThat(settings.number(Setting.TARGET_LEASE_MS)).isEqualTo(1_000);
         }
     }
 
     @Nested
-    final class OfOperators {
+    final class WithoutStore {
         @Test
-        void aFileWithoutTheStoreStaysStrict() throws IOException {
-            Map<String, String> values = with(SHEETS.get(0), "{{Bounds.FarFactor}}", "-1");
+        void anInvalidValueInAFileWithoutAStoreIsAnError() throws IOException {
+            Map<String, String> values = with(DEPLOYMENTS.get(0), "{{Bounds.FarFactor}}", "-1");
             String text = Files.readString(Path.of(TEMPLATE)).replaceAll("(?m)^store = .*$", "");
             for (Map.Entry<String, String> value : values.entrySet()) {
                 text = text.replace(value.getKey(), value.getValue());
             }
-            Settings.Read read = Settings.parse("boot", text);
-            assertThat(((Settings.Read.Bad) read).problems())
+            Settings.ReadResult read = Settings.parse("boot", text);
+            assertThat(((Settings.ReadResult.Invalid) read).problems())
                     .containsExactly("boot: [policy] far_factor = -1: expected 1.0 to 100.0");
         }
     }
--- a/entry/src/test/java/org/boragegap/entry/SettingsTest.java
+++ b/entry/src/test/java/org/boragegap/entry/SettingsTest.java
@@ -10,7 +10,7 @@
 
 /** Settings files: what is taken, and the one line for each thing that isn't. */
 final class SettingsTest {
-    private static final String GOOD =
+    private static final String VALID_FILE =
             String.join(
                     "\n",
                     "[vm]",
@@ -26,15 +26,16 @@
                     "");
 
     private static List<String> problems(String text) {
-        Settings.Read read = Settings.parse("f.ini", text);
-        return read instanceof Settings.Read.Bad bad ? bad.problems() : List.of();
+        Settings.ReadResult read = Settings.parse("f.ini", text);
+        return read instanceof Settings.ReadResult.Invalid bad ? bad.problems() : List.of();
     }
 
     @Nested
     final class Reading {
         @Test
-        void defaultsFillInWhatIsNotNamed() {
-            Settings settings = ((Settings.Read.Good) Settings.parse("f.ini", GOOD)).settings();
+        void missingOptionalKeysGetTheirDefaults() {
+            Settings settings =
+                    ((Settings.ReadResult.Valid) Settings.parse("f.ini", VALID_FILE)).settings();
             assertThat(settings.number(Setting.TASKS_PER_JOB)).isEqualTo(360);
             assertThat(settings.names(Setting.FAILURE_DOMAINS)).containsExactly("a", "b");
             assertThat(settings.port(Setting.CALLER_ADDRESS)).isEqualTo(7002);
@@ -42,25 +43,25 @@
 
         @Test
         void anUnknownKeyIsAnError() {
-            assertThat(problems(GOOD + "[drain]\nbond_ms = 3\n"))
+            assertThat(problems(VALID_FILE + "[drain]\nbond_ms = 3\n"))
                     .containsExactly("f.ini: [drain] bond_ms: unknown key");
         }
 
         @Test
-        void aValueOutOfRangeNamesWhatIsExpected() {
-            assertThat(problems(GOOD + "[limits]\ntasks_per_job = 0\n"))
+        void aValueOutOfRangeIsReportedWithTheExpectedRange() {
+            assertThat(problems(VALID_FILE + "[limits]\ntasks_per_job = 0\n"))
                     .containsExactly("f.ini: [limits] tasks_per_job = 0: expected 1 to 10000");
         }
 
         @Test
-        void aMissingKeyIsNamed() {
-            assertThat(problems(GOOD.replace("log = 127.0.0.1:7004", "")))
+        void aMissingRequiredKeyIsAnError() {
+            assertThat(problems(VALID_FILE.replace("log = 127.0.0.1:7004", "")))
                     .containsExactly("f.ini: [platform] log: is required");
         }
 
         @Test
-        void theOwnFailureDomainMustBeConfigured() {
-            assertThat(problems(GOOD.replace("failure_domain = a", "failure_domain = c")))
+        void theFailureDomainOfTheVmMustBeListed() {
+            assertThat(problems(VALID_FILE.replace("failure_domain = a", "failure_domain = c")))
                     .containsExactly(
                             "f.ini: [vm] failure_domain = c: expected one of"
                                     + " [deployment] failure_domains");
@@ -68,11 +69,11 @@
     }
 
     @Nested
-    final class Page {
+    final class Documentation {
         @Test
-        void theSettingsPageShowsTheTable() throws Exception {
+        void theSettingsPageContainsTheTable() throws Exception {
             String page = Files.readString(Path.of("../docs/SETTINGS.md"));
-            assertThat(page).contains(Setting.table());
+            assertThat(page).contains(Setting.markdownTable());
         }
     }
 }
