--- a/entry/src/main/java/org/boragegap/entry/BundleChecker.java
+++ b/entry/src/main/java/org/boragegap/entry/BundleChecker.java
@@ -36,7 +36,7 @@
     }
 
     /**
-     * Makes a checker.
+     * Creates a checker.
      *
      * @param signers {@code name=key} pairs separated by commas
      * @param requiredSignatures how many of these signers must have signed a bundle
@@ -89,14 +89,14 @@
 
     private Set<String> validSigners(Bundle bundle) {
         byte[] text = bundle.signedText().getBytes(StandardCharsets.UTF_8);
-        Set<String> valid = new HashSet<>();
+        Set<String> verified = new HashSet<>();
         for (Bundle.Signature signature : bundle.signatures()) {
             PublicKey key = mSigners.get(signature.signer());
             if (key != null && verifies(key, text, signature.value())) {
-                valid.add(signature.signer());
+                verified.add(signature.signer());
             }
         }
-        return valid;
+        return verified;
     }
 
     private static boolean verifies(PublicKey key, byte[] text, String value) {
