--- a/entry/src/main/java/org/boragegap/entry/BundleChecker.java
+++ b/entry/src/main/java/org/boragegap/entry/BundleChecker.java
@@ -19,38 +19,44 @@
 import org.boragegap.core.bundle.BundleContent;
 import org.boragegap.core.bundle.CheckedBundle;
 
-/** Checks a bundle's signatures and reads its body; the same on every process. */
+/**
+ * Checks a bundle's signatures and reads its body. The result depends only on the bundle and on the
+ * settings for bundles, so all processes with the same settings agree on it.
+ */
 public final class BundleChecker {
     private static final ObjectMapper sMapper =
             new ObjectMapper().enable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES);
 
     private final Map<String, PublicKey> mSigners;
-    private final long mRequired;
+    private final long mRequiredSignatures;
 
-    private BundleChecker(Map<String, PublicKey> signers, long required) {
+    private BundleChecker(Map<String, PublicKey> signers, long requiredSignatures) {
         mSigners = signers;
-        mRequired = required;
+        mRequiredSignatures = requiredSignatures;
     }
 
     /**
-     * Makes a checker.
+     * Creates a checker.
      *
      * @param signers {@code name=key} pairs separated by commas
-     * @param required how many of them must have signed
+     * @param requiredSignatures how many of these signers must have signed a bundle
      * @throws EntryException if a key can't be read
      */
-    public static BundleChecker create(String signers, long required) throws EntryException {
+    public static BundleChecker create(String signers, long requiredSignatures)
+            throws EntryException {
         Map<String, PublicKey> keys = new LinkedHashMap<>();
         for (String pair : signers.split(",")) {
             int equals = pair.indexOf('=');
             if (equals > 0) {
-                keys.put(pair.substring(0, equals).trim(), key(pair.substring(equals + 1).trim()));
+                keys.put(
+                        pair.substring(0, equals).trim(),
+                        decodeKey(pair.substring(equals + 1).trim()));
             }
         }
-        return new BundleChecker(keys, required);
+        return new BundleChecker(keys, requiredSignatures);
     }
 
-    private static PublicKey key(String base64) throws EntryException {
+    private static PublicKey decodeKey(String base64) throws EntryException {
         try {
             byte[] bytes = Base64.getDecoder().decode(base64);
             return KeyFactory.getInstance("Ed25519").generatePublic(new X509EncodedKeySpec(bytes));
@@ -59,10 +65,10 @@
         }
     }
 
-    /** Checks a bundle. */
+    /** Checks a bundle; one that is not valid is returned with the reason. */
     public CheckedBundle check(Bundle bundle) {
-        if (validSigners(bundle).size() < mRequired) {
-            String problem = "needs valid signatures of " + mRequired + " known signers";
+        if (validSigners(bundle).size() < mRequiredSignatures) {
+            String problem = "needs valid signatures of " + mRequiredSignatures + " known signers";
             return CheckedBundle.invalid(bundle, problem);
         }
         BundleContent content;
@@ -83,14 +89,14 @@
 
     private Set<String> validSigners(Bundle bundle) {
         byte[] text = bundle.signedText().getBytes(StandardCharsets.UTF_8);
-        Set<String> valid = new HashSet<>();
+        Set<String> verified = new HashSet<>();
         for (Bundle.Signature signature : bundle.signatures()) {
             PublicKey key = mSigners.get(signature.signer());
             if (key != null && verifies(key, text, signature.value())) {
-                valid.add(signature.signer());
+                verified.add(signature.signer());
             }
         }
-        return valid;
+        return verified;
     }
 
     private static boolean verifies(PublicKey key, byte[] text, String value) {
--- a/entry/src/main/java/org/boragegap/entry/LogFollower.java
+++ b/entry/src/main/java/org/boragegap/entry/LogPoller.java
@@ -19,29 +19,32 @@
 import org.boragegap.platform.PlatformException;
 import org.boragegap.platform.PlatformJson;
 
-/** Reads the platform's log from its oldest record on, again and again. */
-final class LogFollower {
-    private static final Logger sLog = LogManager.getLogger(LogFollower.class);
+/**
+ * Reads the platform's log from its oldest record on. It polls for new records periodically and
+ * after each append of this process, and posts what it has read as events.
+ */
+final class LogPoller {
+    private static final Logger sLog = LogManager.getLogger(LogPoller.class);
 
     private final LogClient mLog;
     private final BundleChecker mChecker;
-    private final Consumer<Event> mEvents;
+    private final Consumer<Event> mEventSink;
     private final ScheduledExecutorService mTimer;
     private final long mPollMs;
-    private final AtomicBoolean mReading = new AtomicBoolean();
-    private volatile long mNext;
-    private volatile long mFirst;
-    private volatile boolean mStarted;
+    private final AtomicBoolean mReadInProgress = new AtomicBoolean();
+    private volatile long mNextOffset;
+    private volatile long mFirstOffset;
+    private volatile boolean mPageRead;
 
-    LogFollower(
+    LogPoller(
             LogClient log,
             BundleChecker checker,
-            Consumer<Event> events,
+            Consumer<Event> eventSink,
             ScheduledExecutorService timer,
             long pollMs) {
         mLog = log;
         mChecker = checker;
-        mEvents = events;
+        mEventSink = eventSink;
         mTimer = timer;
         mPollMs = pollMs;
     }
@@ -50,19 +53,19 @@
         mTimer.scheduleWithFixedDelay(this::poll, 0, mPollMs, TimeUnit.MILLISECONDS);
     }
 
-    /** Reads now, for instance after an append. */
+    /** Reads now, for instance after an append; does nothing while a read is in progress. */
     void poll() {
-        if (!mReading.compareAndSet(false, true)) {
+        if (!mReadInProgress.compareAndSet(false, true)) {
             return;
         }
-        mLog.read(mNext, this::onPage);
+        mLog.read(mNextOffset, this::onPage);
     }
 
     private void onPage(Optional<LogPage> page) {
         try {
-            page.ifPresent(this::take);
+            page.ifPresent(this::processPage);
         } finally {
-            mReading.set(false);
+            mReadInProgress.set(false);
         }
         boolean more = page.isPresent() && page.get().next() < page.get().end();
         if (more) {
@@ -70,26 +73,26 @@
         }
     }
 
-    private void take(LogPage page) {
-        if (page.first() > mNext) {
-            if (mStarted) {
-                sLog.warn("records {} to {} of the log were missed", mNext, page.first());
+    private void processPage(LogPage page) {
+        if (page.first() > mNextOffset) {
+            if (mPageRead) {
+                sLog.warn("records {} to {} of the log were missed", mNextOffset, page.first());
             }
-            mFirst = page.first();
+            mFirstOffset = page.first();
         }
-        mStarted = true;
-        mNext = page.next();
+        mPageRead = true;
+        mNextOffset = page.next();
         List<LoggedView> views = new ArrayList<>();
         List<BundleRecord> bundles = new ArrayList<>();
         for (LogPage.Item item : page.records()) {
-            sort(page, item, views, bundles);
+            classifyRecord(page, item, views, bundles);
         }
         boolean atEnd = page.next() >= page.end();
-        LogBatch batch = new LogBatch(views, mFirst, mNext, page.nowMs(), atEnd);
-        mEvents.accept(new Event.LogRead(batch, bundles));
+        LogBatch batch = new LogBatch(views, mFirstOffset, mNextOffset, page.nowMs(), atEnd);
+        mEventSink.accept(new Event.LogRead(batch, bundles));
     }
 
-    private void sort(
+    private void classifyRecord(
             LogPage page, LogPage.Item item, List<LoggedView> views, List<BundleRecord> bundles) {
         try {
             LogEntry entry = PlatformJson.read(item.body(), LogEntry.class);
@@ -106,8 +109,9 @@
                                 mChecker.check(configuration.bundle())));
             }
         } catch (PlatformException e) {
-            // Other users of the log, or a later version of this system, may write there too.
-            sLog.debug("record {} of the log is not ours", item.offset());
+            // Other users of the log and later versions of this system may append records as well.
+            sLog.debug(
+                    "log record {} is skipped: it is not an entry of this version", item.offset());
         }
     }
 }
