--- a/app/src/main/java/org/boragegap/app/BenchCommand.java
+++ b/app/src/main/java/org/boragegap/app/BenchCommand.java
@@ -22,14 +22,18 @@
     @Override
     public Options options() {
         return new Options()
-                .addOption(valued("seed", "N", "load: seed of the arrivals; default 1"))
-                .addOption(valued("load", "PERCENT", "load: of the capacity; default 80"))
-                .addOption(valued("seconds", "N", "load: length of a run; default 20"))
-                .addOption(valued("faults", "true|false", "load: one VM and two targets fail"))
-                .addOption(valued("policy", "NAME", "load: usual, baseline or both; default both"));
+                .addOption(optionWithValue("seed", "N", "load: seed of the arrivals; default 1"))
+                .addOption(optionWithValue("load", "PERCENT", "load: of the capacity; default 80"))
+                .addOption(optionWithValue("seconds", "N", "load: length of a run; default 20"))
+                .addOption(
+                        optionWithValue(
+                                "faults", "true|false", "load: one VM and two targets fail"))
+                .addOption(
+                        optionWithValue(
+                                "policy", "NAME", "load: usual, baseline or both; default both"));
     }
 
-    private static Option valued(String name, String argument, String meaning) {
+    private static Option optionWithValue(String name, String argument, String meaning) {
         return Option.builder().longOpt(name).hasArg().argName(argument).desc(meaning).build();
     }
 
--- a/app/src/main/java/org/boragegap/app/BundleCommand.java
+++ b/app/src/main/java/org/boragegap/app/BundleCommand.java
@@ -27,7 +27,7 @@
     private static final int TIMEOUT = 504;
 
     /** Made when first used: each command is made in each process, and this one costs most. */
-    private static final class Json {
+    private static final class MapperHolder {
         private static final ObjectMapper MAPPER =
                 new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT);
     }
@@ -45,16 +45,24 @@
     @Override
     public Options options() {
         return new Options()
-                .addOption(valued("operator", "HOST:PORT", "operator address of an entry VM"))
-                .addOption(valued("key-file", "FILE", "file with the operators' key"))
-                .addOption(valued("body", "FILE", "new: the content, JSON with teams and kinds"))
-                .addOption(valued("parent", "ID", "new: publication in force; none for the first"))
-                .addOption(valued("version", "N", "new: one more than the version in force"))
-                .addOption(valued("signer", "NAME", "sign: name of the key"))
-                .addOption(valued("private-key", "FILE", "sign, keygen: private key in base64"));
+                .addOption(
+                        optionWithValue("operator", "HOST:PORT", "operator address of an entry VM"))
+                .addOption(optionWithValue("key-file", "FILE", "file with the operators' key"))
+                .addOption(
+                        optionWithValue(
+                                "body", "FILE", "new: the content, JSON with teams and kinds"))
+                .addOption(
+                        optionWithValue(
+                                "parent", "ID", "new: publication in force; none for the first"))
+                .addOption(
+                        optionWithValue("version", "N", "new: one more than the version in force"))
+                .addOption(optionWithValue("signer", "NAME", "sign: name of the key"))
+                .addOption(
+                        optionWithValue(
+                                "private-key", "FILE", "sign, keygen: private key in base64"));
     }
 
-    private static Option valued(String name, String argument, String meaning) {
+    private static Option optionWithValue(String name, String argument, String meaning) {
         return Option.builder().longOpt(name).hasArg().argName(argument).desc(meaning).build();
     }
 
@@ -65,21 +73,21 @@
         return switch (action) {
             case "new" -> create(line);
             case "keygen" -> generateKey(line);
-            case "sign" -> sign(line, file(words));
-            case "publish" -> publish(line, file(words));
+            case "sign" -> sign(line, bundleFile(words));
+            case "publish" -> publish(line, bundleFile(words));
             case "status" -> status(line);
             default -> throw new UsageException("expected new, keygen, sign, publish or status");
         };
     }
 
-    private static Path file(List<String> words) throws UsageException {
+    private static Path bundleFile(List<String> words) throws UsageException {
         if (words.size() != 2) {
             throw new UsageException("expected one bundle FILE");
         }
         return Path.of(words.get(1));
     }
 
-    private static String need(CommandLine line, String option) throws UsageException {
+    private static String requiredOption(CommandLine line, String option) throws UsageException {
         if (!line.hasOption(option)) {
             throw new UsageException("--" + option + " is required");
         }
@@ -87,17 +95,17 @@
     }
 
     private ExitCode create(CommandLine line) throws Exception {
-        String body = Files.readString(Path.of(need(line, "body")));
+        String body = Files.readString(Path.of(requiredOption(line, "body")));
         long version;
         try {
-            version = Long.parseLong(need(line, "version"));
+            version = Long.parseLong(requiredOption(line, "version"));
         } catch (NumberFormatException e) {
             throw new UsageException("--version: expected a whole number");
         }
         String parent = line.getOptionValue("parent", "");
         String publication = UUID.randomUUID().toString();
         Bundle bundle = new Bundle(version, parent, publication, body, List.of());
-        System.out.println(Json.MAPPER.writeValueAsString(bundle));
+        System.out.println(MapperHolder.MAPPER.writeValueAsString(bundle));
         return ExitCode.OK;
     }
 
@@ -105,15 +113,15 @@
         KeyPair pair = KeyPairGenerator.getInstance("Ed25519").generateKeyPair();
         Base64.Encoder base64 = Base64.getEncoder();
         Files.writeString(
-                Path.of(need(line, "private-key")),
+                Path.of(requiredOption(line, "private-key")),
                 base64.encodeToString(pair.getPrivate().getEncoded()));
         System.out.println(base64.encodeToString(pair.getPublic().getEncoded()));
         return ExitCode.OK;
     }
 
     private ExitCode sign(CommandLine line, Path file) throws Exception {
-        Bundle bundle = Json.MAPPER.readValue(Files.readString(file), Bundle.class);
-        String keyText = Files.readString(Path.of(need(line, "private-key"))).trim();
+        Bundle bundle = MapperHolder.MAPPER.readValue(Files.readString(file), Bundle.class);
+        String keyText = Files.readString(Path.of(requiredOption(line, "private-key"))).trim();
         byte[] keyBytes = Base64.getDecoder().decode(keyText);
         PrivateKey key =
                 KeyFactory.getInstance("Ed25519")
@@ -123,7 +131,7 @@
         signer.update(bundle.signedText().getBytes(StandardCharsets.UTF_8));
         String value = Base64.getEncoder().encodeToString(signer.sign());
         List<Bundle.Signature> signatures = new ArrayList<>(bundle.signatures());
-        signatures.add(new Bundle.Signature(need(line, "signer"), value));
+        signatures.add(new Bundle.Signature(requiredOption(line, "signer"), value));
         Bundle signed =
                 new Bundle(
                         bundle.version(),
@@ -131,14 +139,14 @@
                         bundle.publication(),
                         bundle.body(),
                         signatures);
-        Files.writeString(file, Json.MAPPER.writeValueAsString(signed));
+        Files.writeString(file, MapperHolder.MAPPER.writeValueAsString(signed));
         return ExitCode.OK;
     }
 
     private static ExitCode publish(CommandLine line, Path file) throws Exception {
-        need(line, "operator");
+        requiredOption(line, "operator");
         HttpResponse<String> response =
-                Client.operate(line, "POST", "/v1/bundles", Files.readString(file));
+                CliHttpClient.sendToOperator(line, "POST", "/v1/bundles", Files.readString(file));
         System.out.println(response.body());
         if (response.statusCode() == OK) {
             return ExitCode.OK;
@@ -147,8 +155,9 @@
     }
 
     private static ExitCode status(CommandLine line) throws Exception {
-        need(line, "operator");
-        HttpResponse<String> response = Client.operate(line, "GET", "/v1/bundles", "");
+        requiredOption(line, "operator");
+        HttpResponse<String> response =
+                CliHttpClient.sendToOperator(line, "GET", "/v1/bundles", "");
         System.out.println(response.body());
         return response.statusCode() == OK ? ExitCode.OK : ExitCode.FAILED;
     }
--- a/app/src/main/java/org/boragegap/app/Client.java
+++ b/app/src/main/java/org/boragegap/app/CliHttpClient.java
@@ -11,13 +11,14 @@
 import org.apache.commons.cli.CommandLine;
 
 /** A plain HTTP client for the command line. */
-final class Client {
-    private static final Duration CONNECT_WITHIN = Duration.ofSeconds(2);
-    private static final Duration ANSWER_WITHIN = Duration.ofSeconds(620);
+final class CliHttpClient {
+    private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(2);
+    private static final Duration ANSWER_TIMEOUT = Duration.ofSeconds(620);
 
-    private Client() {}
+    private CliHttpClient() {}
 
-    static HttpResponse<String> operate(CommandLine line, String method, String path, String body)
+    static HttpResponse<String> sendToOperator(
+            CommandLine line, String method, String path, String body)
             throws IOException, InterruptedException {
         String key = "";
         if (line.hasOption("key-file")) {
@@ -31,7 +32,7 @@
             throws IOException, InterruptedException {
         HttpRequest.Builder request =
                 HttpRequest.newBuilder(URI.create("http://" + address + path))
-                        .timeout(ANSWER_WITHIN)
+                        .timeout(ANSWER_TIMEOUT)
                         .header("Content-Type", "application/json")
                         .method(method, HttpRequest.BodyPublishers.ofString(body));
         if (!key.isEmpty()) {
@@ -40,7 +41,7 @@
         HttpClient client =
                 HttpClient.newBuilder()
                         .version(HttpClient.Version.HTTP_1_1)
-                        .connectTimeout(CONNECT_WITHIN)
+                        .connectTimeout(CONNECT_TIMEOUT)
                         .build();
         return client.send(request.build(), HttpResponse.BodyHandlers.ofString());
     }
--- a/app/src/main/java/org/boragegap/app/Command.java
+++ b/app/src/main/java/org/boragegap/app/Command.java
@@ -16,8 +16,8 @@
     Options options();
 
     /** Sets up where its log lines go to; called once, before it runs. */
-    default void beginLog() {
-        LogSetup.ofCommand();
+    default void configureLogging() {
+        LogSetup.forCommand();
     }
 
     /** Runs it. */
--- a/app/src/main/java/org/boragegap/app/EmbeddedCell.java
+++ b/app/src/main/java/org/boragegap/app/EmbeddedCell.java
@@ -32,9 +32,9 @@
     private static final int TARGETS = 6;
 
     /** Makes ids that differ as those of real targets do; the golden ratio of 32 bits. */
-    private static final int SPREAD = 0x9E3779B9;
+    private static final int ID_MULTIPLIER = 0x9E3779B9;
 
-    private static final int TASKS = 4;
+    private static final int TASKS_PER_JOB = 4;
 
     /** Run time of a task, in ms, as the target stand-in takes it. */
     private static final String TASK_MS = "5";
@@ -43,19 +43,19 @@
     private static final int OK = 200;
 
     /** Longest wait for one answer, in ms; a job here takes some ten ms. */
-    private static final long ANSWER_WITHIN_MS = 2_000;
+    private static final long ANSWER_TIMEOUT_MS = 2_000;
 
     /** How often the first job is handed in before giving up; the cell is up after a second. */
-    private static final int TRIES = 100;
+    private static final int MAX_STARTUP_TRIES = 100;
 
     /** Pause between two tries, in ms. */
-    private static final long TRY_EVERY_MS = 100;
+    private static final long RETRY_INTERVAL_MS = 100;
 
     private final ScheduledExecutorService mTimer = Executors.newScheduledThreadPool(2);
     private final HttpClient mHttp = HttpClient.create(CONNECTIONS);
     private final List<CellTargetStandin> mTargets = new ArrayList<>();
     private final List<CellNode> mNodes = new ArrayList<>();
-    private final List<String> mCallers = new ArrayList<>();
+    private final List<String> mCallerAddresses = new ArrayList<>();
     private final StoreStandin mStore;
     private final int mStorePort;
     private int mNextJob = 1;
@@ -78,7 +78,7 @@
     }
 
     /** Tasks that were started on the targets of a cell of this layout. */
-    Set<String> startedIn(CellLayout layout, int cell) {
+    Set<String> startedTasks(CellLayout layout, int cell) {
         Set<String> started = new HashSet<>();
         for (int i = 0; i < TARGETS; i++) {
             if (layout.cellOfTarget(targetId(i)) == cell) {
@@ -89,12 +89,12 @@
     }
 
     private static String targetId(int number) {
-        return String.format("i-%08x", number * SPREAD);
+        return String.format("i-%08x", number * ID_MULTIPLIER);
     }
 
     void start() throws Exception {
         mStore.start();
-        SampleCalls.configure(mStore, 1, "/jobs/");
+        SampleCalls.putConfiguration(mStore, 1, "/jobs/");
         for (int i = 0; i < TARGETS; i++) {
             CellTargetStandin target =
                     CellTargetStandin.create(
@@ -144,7 +144,7 @@
         CellNode node = CellNode.create(settings, incarnation, CellNode.clock());
         node.start();
         mNodes.add(node);
-        mCallers.add(callers);
+        mCallerAddresses.add(callers);
     }
 
     /**
@@ -152,28 +152,28 @@
      *
      * @return how many of them were completed
      */
-    int serve(int jobs) throws InterruptedException {
-        awaitFirst();
+    int submitJobs(int jobs) throws InterruptedException {
+        awaitFirstCompletion();
         int completed = 0;
         for (int i = 0; i < jobs; i++) {
-            completed += submit(mCallers.get(i % ENTRY_VMS)) ? 1 : 0;
+            completed += submit(mCallerAddresses.get(i % ENTRY_VMS)) ? 1 : 0;
         }
         return completed;
     }
 
-    private void awaitFirst() throws InterruptedException {
-        for (int i = 0; i < TRIES && !submit(mCallers.get(0)); i++) {
-            TimeUnit.MILLISECONDS.sleep(TRY_EVERY_MS);
+    private void awaitFirstCompletion() throws InterruptedException {
+        for (int i = 0; i < MAX_STARTUP_TRIES && !submit(mCallerAddresses.get(0)); i++) {
+            TimeUnit.MILLISECONDS.sleep(RETRY_INTERVAL_MS);
         }
     }
 
     private boolean submit(String address) throws InterruptedException {
         String path = String.format("/jobs/%016x", mNextJob++);
-        String body = SampleCalls.job(TASKS, TASK_MS);
+        String body = SampleCalls.jobBody(TASKS_PER_JOB, TASK_MS);
         CompletableFuture<HttpResult> answer = new CompletableFuture<>();
-        mHttp.send(HttpCall.post(address, path, body, ANSWER_WITHIN_MS, answer::complete));
+        mHttp.send(HttpCall.post(address, path, body, ANSWER_TIMEOUT_MS, answer::complete));
         try {
-            HttpResult result = answer.get(2 * ANSWER_WITHIN_MS, TimeUnit.MILLISECONDS);
+            HttpResult result = answer.get(2 * ANSWER_TIMEOUT_MS, TimeUnit.MILLISECONDS);
             return result instanceof HttpResult.Response response && response.status() == OK;
         } catch (ExecutionException | TimeoutException e) {
             System.err.println("no answer to " + path + ": " + e);
--- a/app/src/main/java/org/boragegap/app/EmbeddedDeployment.java
+++ b/app/src/main/java/org/boragegap/app/EmbeddedDeployment.java
@@ -26,42 +26,45 @@
     private static final String SERVICE = "catalogue";
     private static final int WORKER_SLOTS = 64;
     private static final long RETENTION_MS = 3_600_000;
-    private static final long READY_WITHIN_MS = 20_000;
-    private static final long READY_CHECK_MS = 20;
+    private static final long READY_TIMEOUT_MS = 20_000;
+    private static final long READY_CHECK_INTERVAL_MS = 20;
     private static final int OK = 200;
 
     private final List<Standin> mStandins = new ArrayList<>();
     private final List<TargetStandin> mTargets = new ArrayList<>();
-    private final List<EntryService> mEntries = new ArrayList<>();
-    private final List<String> mCallers = new ArrayList<>();
-    private final List<String> mOperators = new ArrayList<>();
+    private final List<EntryService> mEntryServices = new ArrayList<>();
+    private final List<String> mCallerAddresses = new ArrayList<>();
+    private final List<String> mOperatorAddresses = new ArrayList<>();
     private final ScheduledExecutorService mTimer = Executors.newScheduledThreadPool(2);
 
-    private final DeploymentShape mShape;
-    private String mMinion = "";
+    private final DeploymentSpec mSpec;
+    private String mMinionAddress = "";
 
-    private EmbeddedDeployment(DeploymentShape shape) throws IOException, EntryException {
-        mShape = shape;
+    private EmbeddedDeployment(DeploymentSpec shape) throws IOException, EntryException {
+        mSpec = shape;
         int logPort = LoopbackPorts.next();
         int listPort = LoopbackPorts.next();
         List<ListedVm> vms = new ArrayList<>();
         for (int i = 0; i < shape.workers(); i++) {
             int port = LoopbackPorts.next();
-            mTargets.add(TargetStandin.worker(HOST, port, shape.worker(), WORKER_SLOTS, mTimer));
-            vms.add(target(port, VmKind.WORKER, "", shape.worker(), WORKER_SLOTS));
+            mTargets.add(
+                    TargetStandin.worker(HOST, port, shape.workerCapacity(), WORKER_SLOTS, mTimer));
+            vms.add(listedTarget(port, VmKind.WORKER, "", shape.workerCapacity(), WORKER_SLOTS));
         }
         for (int i = 0; i < shape.minions(); i++) {
             int port = LoopbackPorts.next();
-            mMinion = HOST + ":" + port;
+            mMinionAddress = HOST + ":" + port;
             mTargets.add(TargetStandin.minion(HOST, port, shape.minionSlots(), mTimer));
-            vms.add(target(port, VmKind.MINION, SERVICE, Resources.NONE, shape.minionSlots()));
+            vms.add(
+                    listedTarget(
+                            port, VmKind.MINION, SERVICE, Resources.NONE, shape.minionSlots()));
         }
-        for (int i = 0; i < shape.entries(); i++) {
+        for (int i = 0; i < shape.entryVms(); i++) {
             String peer = HOST + ":" + LoopbackPorts.next();
-            mCallers.add(HOST + ":" + LoopbackPorts.next());
-            mOperators.add(HOST + ":" + LoopbackPorts.next());
+            mCallerAddresses.add(HOST + ":" + LoopbackPorts.next());
+            mOperatorAddresses.add(HOST + ":" + LoopbackPorts.next());
             vms.add(new ListedVm(peer, DOMAIN, VmKind.ENTRY, "", false, Resources.NONE, 0));
-            mEntries.add(
+            mEntryServices.add(
                     EntryService.create(
                             settings(i, peer, logPort, listPort), System.currentTimeMillis()));
         }
@@ -70,11 +73,11 @@
         mStandins.addAll(mTargets);
     }
 
-    static EmbeddedDeployment create(DeploymentShape shape) throws IOException, EntryException {
+    static EmbeddedDeployment create(DeploymentSpec shape) throws IOException, EntryException {
         return new EmbeddedDeployment(shape);
     }
 
-    private static ListedVm target(
+    private static ListedVm listedTarget(
             int port, VmKind kind, String service, Resources capacity, int slots) {
         return new ListedVm(HOST + ":" + port, DOMAIN, kind, service, false, capacity, slots);
     }
@@ -86,15 +89,15 @@
                         "[vm]",
                         "failure_domain = " + DOMAIN,
                         "peer_address = " + peer,
-                        "caller_address = " + mCallers.get(entry),
-                        "operator_address = " + mOperators.get(entry),
+                        "caller_address = " + mCallerAddresses.get(entry),
+                        "operator_address = " + mOperatorAddresses.get(entry),
                         "[deployment]",
                         "failure_domains = " + DOMAIN,
                         "[platform]",
                         "log = " + HOST + ":" + logPort,
                         "vm_list = " + HOST + ":" + listPort,
                         "log_poll_ms = 100",
-                        mShape.settings(),
+                        mSpec.extraSettings(),
                         "");
         return ((Settings.ReadResult.Valid) Settings.parse("quickstart", text)).settings();
     }
@@ -103,43 +106,43 @@
         for (Standin standin : mStandins) {
             standin.start();
         }
-        for (EntryService entry : mEntries) {
+        for (EntryService entry : mEntryServices) {
             entry.start();
         }
-        for (String operator : mOperators) {
+        for (String operator : mOperatorAddresses) {
             awaitReady(operator);
         }
     }
 
     private static void awaitReady(String operator) throws IOException, InterruptedException {
-        long untilMs = System.currentTimeMillis() + READY_WITHIN_MS;
+        long untilMs = System.currentTimeMillis() + READY_TIMEOUT_MS;
         while (System.currentTimeMillis() < untilMs) {
-            HttpResponse<String> response = Client.send(operator, "GET", "/readyz", "", "");
+            HttpResponse<String> response = CliHttpClient.send(operator, "GET", "/readyz", "", "");
             if (response.statusCode() == OK) {
                 return;
             }
-            Thread.sleep(READY_CHECK_MS);
+            Thread.sleep(READY_CHECK_INTERVAL_MS);
         }
         throw new IOException("entry VM at " + operator + " did not get ready");
     }
 
     void stop() {
-        mEntries.forEach(EntryService::stop);
+        mEntryServices.forEach(EntryService::stop);
         mStandins.forEach(Standin::stop);
         mTimer.shutdownNow();
     }
 
     /** Stops one entry VM at once, as a crash would. */
     void stopEntry(int number) {
-        mEntries.get(number).stop();
+        mEntryServices.get(number).stop();
     }
 
     List<String> callerAddresses() {
-        return mCallers;
+        return mCallerAddresses;
     }
 
     List<String> operatorAddresses() {
-        return mOperators;
+        return mOperatorAddresses;
     }
 
     List<TargetStandin> targets() {
@@ -148,12 +151,12 @@
 
     /** Address of the first minion. */
     String minionAddress() {
-        return mMinion;
+        return mMinionAddress;
     }
 
     String sampleCurl() {
         return "curl -s http://"
-                + mCallers.get(0)
+                + mCallerAddresses.get(0)
                 + "/v1/services/"
                 + SERVICE
                 + "/requests -d '{\"team\":\"registrar\",\"kind\":\"seat-check\","
--- a/app/src/main/java/org/boragegap/app/JsonLines.java
+++ b/app/src/main/java/org/boragegap/app/JsonLines.java
@@ -16,33 +16,33 @@
 import org.apache.logging.log4j.util.ReadOnlyStringMap;
 
 /**
- * Writes each log event as one line of JSON: {@code time} in UTC, {@code level}, {@code logger},
- * {@code thread}, {@code message} with the fields of a decision or a {@code text}, the fields of
- * the process, {@code context} and {@code exception} where there are any.
+ * Writes each log event as one line of JSON: {@code formatTime} in UTC, {@code level}, {@code
+ * logger}, {@code thread}, {@code message} with the fields of a decision or a {@code text}, the
+ * fields of the process, {@code context} and {@code exception} where there are any.
  */
 final class JsonLines extends AbstractStringLayout {
-    private static final JsonFactory sJson = new JsonFactory();
+    private static final JsonFactory sJsonFactory = new JsonFactory();
     private static final long MS_PER_S = 1_000;
     private static final int NANOS_PER_MS = 1_000_000;
     private static final int TIME_LENGTH = 24;
 
-    private volatile Map<String, String> mProcess = Map.of();
+    private volatile Map<String, String> mProcessFields = Map.of();
 
     JsonLines() {
         super(StandardCharsets.UTF_8);
     }
 
     /** Sets the fields that stand in each line from now on. */
-    void describe(Map<String, String> process) {
-        mProcess = process;
+    void setProcessFields(Map<String, String> process) {
+        mProcessFields = process;
     }
 
     @Override
     public String toSerializable(LogEvent event) {
         StringWriter line = new StringWriter();
-        try (JsonGenerator json = sJson.createGenerator(line)) {
+        try (JsonGenerator json = sJsonFactory.createGenerator(line)) {
             json.writeStartObject();
-            write(event, json);
+            writeEvent(event, json);
             json.writeEndObject();
         } catch (IOException e) {
             throw new IllegalStateException("a string can't be written to", e);
@@ -50,13 +50,13 @@
         return line.append('\n').toString();
     }
 
-    private void write(LogEvent event, JsonGenerator json) throws IOException {
-        json.writeStringField("time", time(event.getTimeMillis()));
+    private void writeEvent(LogEvent event, JsonGenerator json) throws IOException {
+        json.writeStringField("time", formatTime(event.getTimeMillis()));
         json.writeStringField("level", event.getLevel().name());
         json.writeStringField("logger", event.getLoggerName());
         json.writeStringField("thread", event.getThreadName());
         writeMessage(event.getMessage(), json);
-        for (Map.Entry<String, String> field : mProcess.entrySet()) {
+        for (Map.Entry<String, String> field : mProcessFields.entrySet()) {
             json.writeStringField(field.getKey(), field.getValue());
         }
         writeContext(event.getContextData(), json);
@@ -66,23 +66,23 @@
     }
 
     /** A time as text. Written here, since a formatter reads the locale's data at every start. */
-    private static String time(long ms) {
+    private static String formatTime(long ms) {
         LocalDateTime at =
                 LocalDateTime.ofEpochSecond(
                         Math.floorDiv(ms, MS_PER_S),
                         (int) Math.floorMod(ms, MS_PER_S) * NANOS_PER_MS,
                         ZoneOffset.UTC);
         StringBuilder text = new StringBuilder(TIME_LENGTH);
-        pad(text, at.getYear(), 4).append('-');
-        pad(text, at.getMonthValue(), 2).append('-');
-        pad(text, at.getDayOfMonth(), 2).append('T');
-        pad(text, at.getHour(), 2).append(':');
-        pad(text, at.getMinute(), 2).append(':');
-        pad(text, at.getSecond(), 2).append('.');
-        return pad(text, at.getNano() / NANOS_PER_MS, 3).append('Z').toString();
+        appendPadded(text, at.getYear(), 4).append('-');
+        appendPadded(text, at.getMonthValue(), 2).append('-');
+        appendPadded(text, at.getDayOfMonth(), 2).append('T');
+        appendPadded(text, at.getHour(), 2).append(':');
+        appendPadded(text, at.getMinute(), 2).append(':');
+        appendPadded(text, at.getSecond(), 2).append('.');
+        return appendPadded(text, at.getNano() / NANOS_PER_MS, 3).append('Z').toString();
     }
 
-    private static StringBuilder pad(StringBuilder text, int number, int digits) {
+    private static StringBuilder appendPadded(StringBuilder text, int number, int digits) {
         String decimal = Integer.toString(number);
         for (int i = decimal.length(); i < digits; i++) {
             text.append('0');
--- a/app/src/main/java/org/boragegap/app/LoadComparison.java
+++ b/app/src/main/java/org/boragegap/app/LoadComparison.java
@@ -5,8 +5,8 @@
 
 /** Runs the same load with the usual policies and with the baseline's, one after the other. */
 final class LoadComparison {
-    private static final String USUAL = "";
-    private static final String BASELINE =
+    private static final String USUAL_SETTINGS = "";
+    private static final String BASELINE_SETTINGS =
             "[policy]\nplacement = ROUND_ROBIN\norder = FIFO\n[limits]\nrefuse_hopeless = false";
 
     /**
@@ -25,10 +25,10 @@
     static Map<String, LoadRun.Result> run(Options options) throws Exception {
         Map<String, LoadRun.Result> results = new LinkedHashMap<>();
         if (!options.policy().equals("baseline")) {
-            results.put("usual", new LoadRun(options, USUAL).run());
+            results.put("usual", new LoadRun(options, USUAL_SETTINGS).run());
         }
         if (!options.policy().equals("usual")) {
-            results.put("baseline", new LoadRun(options, BASELINE).run());
+            results.put("baseline", new LoadRun(options, BASELINE_SETTINGS).run());
         }
         return results;
     }
--- a/app/src/main/java/org/boragegap/app/LoadRun.java
+++ b/app/src/main/java/org/boragegap/app/LoadRun.java
@@ -24,8 +24,8 @@
     private static final long TIMEOUT_MS = 30_000;
     private static final int OK = 200;
     private static final int UNAVAILABLE = 503;
-    private static final double RATIO_UNIT = 1_000.0;
-    private static final List<String> WASTE =
+    private static final double RATIO_SCALE = 1_000.0;
+    private static final List<String> WASTED_COUNTERS =
             List.of(
                     "REFUSED_STARTS",
                     "LOST_STARTS",
@@ -68,37 +68,37 @@
             Map<String, Double> p99ByTeam) {}
 
     private final LoadComparison.Options mOptions;
-    private final String mSettings;
+    private final String mExtraSettings;
     private final ObjectMapper mMapper = new ObjectMapper();
     private final Histogram mRatios = new Histogram(3);
-    private final Map<String, Histogram> mByTeam = new HashMap<>();
+    private final Map<String, Histogram> mRatiosByTeam = new HashMap<>();
     private final AtomicInteger mComplete = new AtomicInteger();
     private final AtomicInteger mRefused = new AtomicInteger();
     private final AtomicInteger mFailed = new AtomicInteger();
-    private long mCompleteWorkMs;
-    private double mLengthSeconds;
+    private long mCompleteRunMs;
+    private double mDurationSeconds;
 
     LoadRun(LoadComparison.Options options, String settings) {
         mOptions = options;
-        mSettings = settings;
+        mExtraSettings = settings;
     }
 
     Result run() throws Exception {
-        DeploymentShape shape = DeploymentShape.load(mSettings);
+        DeploymentSpec shape = DeploymentSpec.load(mExtraSettings);
         EmbeddedDeployment deployment = EmbeddedDeployment.create(shape);
         deployment.start();
         HttpClient http = HttpClient.create(CONNECTIONS);
         http.start();
         LoadPlan warmUp = LoadPlan.create(mOptions.seed() + 1, 50, 5, cores(shape));
-        offer(deployment, http, warmUp, false);
+        submitAll(deployment, http, warmUp, false);
         Map<String, Long> before = counters(deployment);
         LoadPlan plan =
                 LoadPlan.create(
                         mOptions.seed(), mOptions.loadPercent(), mOptions.seconds(), cores(shape));
-        Thread faults = faults(deployment);
+        Thread faults = injectFaults(deployment);
         long startedNs = System.nanoTime();
-        offer(deployment, http, plan, true);
-        mLengthSeconds = (System.nanoTime() - startedNs) / 1e9;
+        submitAll(deployment, http, plan, true);
+        mDurationSeconds = (System.nanoTime() - startedNs) / 1e9;
         faults.join();
         Map<String, Long> after = counters(deployment);
         Result result = result(deployment, plan, before, after, cores(shape));
@@ -107,11 +107,11 @@
         return result;
     }
 
-    private static int cores(DeploymentShape shape) {
-        return shape.workers() * shape.worker().cpuMillis() / 1_000;
+    private static int cores(DeploymentSpec shape) {
+        return shape.workers() * shape.workerCapacity().cpuMillis() / 1_000;
     }
 
-    private Thread faults(EmbeddedDeployment deployment) {
+    private Thread injectFaults(EmbeddedDeployment deployment) {
         Thread thread =
                 new Thread(
                         () -> {
@@ -126,34 +126,35 @@
         return thread;
     }
 
-    private void offer(EmbeddedDeployment deployment, HttpClient http, LoadPlan plan, boolean count)
+    private void submitAll(
+            EmbeddedDeployment deployment, HttpClient http, LoadPlan plan, boolean count)
             throws InterruptedException {
         List<String> callers = deployment.callerAddresses();
         CountDownLatch left = new CountDownLatch(plan.jobs().size());
         long startedNs = System.nanoTime();
         int number = 0;
         for (LoadPlan.Job job : plan.jobs()) {
-            long dueNs = startedNs + TimeUnit.MILLISECONDS.toNanos(job.atMs());
+            long dueNs = startedNs + TimeUnit.MILLISECONDS.toNanos(job.arrivalMs());
             while (System.nanoTime() < dueNs) {
                 LockSupport.parkNanos(dueNs - System.nanoTime());
             }
             // Time counts from when the job was due, also if sending it was late.
-            send(new Sending(http, callers, job, dueNs, count, left), number++);
+            submit(new SubmittedJob(http, callers, job, dueNs, count, left), number++);
         }
         left.await();
     }
 
-    private record Sending(
+    private record SubmittedJob(
             HttpClient http,
-            List<String> callers,
+            List<String> addresses,
             LoadPlan.Job job,
             long dueNs,
-            boolean count,
-            CountDownLatch left) {}
+            boolean counted,
+            CountDownLatch remaining) {}
 
     /** Sends to one entry VM, and to the next if that one can't be reached, as a balancer would. */
-    private void send(Sending sending, int number) {
-        List<String> callers = sending.callers();
+    private void submit(SubmittedJob sending, int number) {
+        List<String> callers = sending.addresses();
         sending.http()
                 .send(
                         HttpCall.post(
@@ -164,18 +165,18 @@
                                 result -> onResult(sending, number, result)));
     }
 
-    private void onResult(Sending sending, int number, HttpResult result) {
+    private void onResult(SubmittedJob sending, int number, HttpResult result) {
         if (result instanceof HttpResult.NotSent) {
-            send(sending, number + 1);
+            submit(sending, number + 1);
             return;
         }
-        if (sending.count()) {
-            record(sending.job(), result, sending.dueNs());
+        if (sending.counted()) {
+            recordResult(sending.job(), result, sending.dueNs());
         }
-        sending.left().countDown();
+        sending.remaining().countDown();
     }
 
-    private synchronized void record(LoadPlan.Job job, HttpResult result, long dueNs) {
+    private synchronized void recordResult(LoadPlan.Job job, HttpResult result, long dueNs) {
         boolean answered = result instanceof HttpResult.Response;
         int status = answered ? ((HttpResult.Response) result).status() : 0;
         if (status == UNAVAILABLE) {
@@ -184,11 +185,11 @@
             mFailed.incrementAndGet();
         } else {
             double tookMs = (System.nanoTime() - dueNs) / 1e6;
-            long ratio = (long) (tookMs / job.idealMs() * RATIO_UNIT);
+            long ratio = (long) (tookMs / job.idealMs() * RATIO_SCALE);
             mComplete.incrementAndGet();
-            mCompleteWorkMs += job.workMs();
+            mCompleteRunMs += job.totalRunMs();
             mRatios.recordValue(ratio);
-            mByTeam.computeIfAbsent(job.team(), team -> new Histogram(3)).recordValue(ratio);
+            mRatiosByTeam.computeIfAbsent(job.team(), team -> new Histogram(3)).recordValue(ratio);
         }
     }
 
@@ -208,7 +209,7 @@
     /** Counters of one entry VM; none of one that was stopped on purpose. */
     private JsonNode counters(String operator) throws Exception {
         try {
-            String dump = Client.send(operator, "GET", "/dump", "", "").body();
+            String dump = CliHttpClient.send(operator, "GET", "/dump", "", "").body();
             return mMapper.readTree(dump).path("counters");
         } catch (IOException e) {
             return mMapper.createObjectNode();
@@ -222,7 +223,7 @@
             Map<String, Long> after,
             int cores) {
         Map<String, Long> wasted = new TreeMap<>();
-        for (String name : WASTE) {
+        for (String name : WASTED_COUNTERS) {
             wasted.put(name, difference(name, before, after));
         }
         long useful =
@@ -231,7 +232,7 @@
                         + 2 * difference("SUBMISSIONS", before, after);
         long waste = wasted.values().stream().mapToLong(Long::longValue).sum();
         Map<String, Double> byTeam = new TreeMap<>();
-        mByTeam.forEach((team, ratios) -> byTeam.put(team, percentile(ratios, 99)));
+        mRatiosByTeam.forEach((team, ratios) -> byTeam.put(team, percentile(ratios, 99)));
         return new Result(
                 plan.jobs().size(),
                 mComplete.get(),
@@ -241,7 +242,7 @@
                 percentile(mRatios, 50),
                 percentile(mRatios, 99),
                 percentile(mRatios, 99.9),
-                mCompleteWorkMs / 1e3 / mLengthSeconds / cores,
+                mCompleteRunMs / 1e3 / mDurationSeconds / cores,
                 (double) waste / Math.max(1, useful),
                 wasted,
                 byTeam);
@@ -252,7 +253,7 @@
     }
 
     private static double percentile(Histogram ratios, double percentile) {
-        return ratios.getValueAtPercentile(percentile) / RATIO_UNIT;
+        return ratios.getValueAtPercentile(percentile) / RATIO_SCALE;
     }
 
     private static long startedTwice(EmbeddedDeployment deployment) {
--- a/app/src/main/java/org/boragegap/app/LogSetup.java
+++ b/app/src/main/java/org/boragegap/app/LogSetup.java
@@ -17,17 +17,17 @@
  */
 final class LogSetup extends AbstractConfiguration {
     /** Lines that may wait to be written. */
-    private static final int MOST_WAITING = 4_096;
+    private static final int MAX_BUFFERED_LINES = 4_096;
 
     /** How long lines that wait are written when the process ends, in ms. */
-    private static final long WRITE_OUT_MS = 500;
+    private static final long SHUTDOWN_TIMEOUT_MS = 500;
 
     private static final String CONSOLE = "console";
     private static final String BOUNDED = "bounded";
     private static final String HTTP_LIBRARY = "org.glassfish.grizzly";
 
     private final ConsoleAppender.Target mTarget;
-    private final JsonLines mLines = new JsonLines();
+    private final JsonLines mLayout = new JsonLines();
 
     private LogSetup(ConsoleAppender.Target target) {
         super(null, ConfigurationSource.NULL_SOURCE);
@@ -35,20 +35,20 @@
     }
 
     /** Log lines of a command go to standard error; its results go to standard output. */
-    static void ofCommand() {
+    static void forCommand() {
         Configurator.initialize(new LogSetup(ConsoleAppender.Target.SYSTEM_ERR));
     }
 
     /** Log lines of an entry process go to standard output. */
-    static LogSetup ofProcess() {
+    static LogSetup forEntryProcess() {
         LogSetup setup = new LogSetup(ConsoleAppender.Target.SYSTEM_OUT);
         Configurator.initialize(setup);
         return setup;
     }
 
     /** Sets the fields that stand in each line from now on. */
-    void describe(Map<String, String> process) {
-        mLines.describe(process);
+    void setProcessFields(Map<String, String> process) {
+        mLayout.setProcessFields(process);
     }
 
     /** Names no plugin, so none is looked for. */
@@ -58,7 +58,7 @@
                 ConsoleAppender.newBuilder()
                         .setName(CONSOLE)
                         .setTarget(mTarget)
-                        .setLayout(mLines)
+                        .setLayout(mLayout)
                         // Lines that wait together are written by one call.
                         .setImmediateFlush(false)
                         .build();
@@ -70,9 +70,9 @@
                         .setName(BOUNDED)
                         .setConfiguration(this)
                         .setAppenderRefs(new AppenderRef[] {toConsole})
-                        .setBufferSize(MOST_WAITING)
+                        .setBufferSize(MAX_BUFFERED_LINES)
                         .setBlocking(false)
-                        .setShutdownTimeout(WRITE_OUT_MS)
+                        .setShutdownTimeout(SHUTDOWN_TIMEOUT_MS)
                         .build();
         bounded.start();
         addAppender(bounded);
--- a/app/src/main/java/org/boragegap/app/Main.java
+++ b/app/src/main/java/org/boragegap/app/Main.java
@@ -60,7 +60,7 @@
                 new HelpFormatter().printHelp(syntax, options);
                 return ExitCode.OK;
             }
-            command.beginLog();
+            command.configureLogging();
             return command.run(line);
         } catch (ParseException | UsageException e) {
             System.err.println("boragegap " + command.name() + ": " + e.getMessage());
--- a/app/src/main/java/org/boragegap/app/OperateCommand.java
+++ b/app/src/main/java/org/boragegap/app/OperateCommand.java
@@ -57,7 +57,7 @@
 
     @Override
     public ExitCode run(CommandLine line) throws Exception {
-        HttpResponse<String> response = Client.operate(line, mMethod, mPath, "");
+        HttpResponse<String> response = CliHttpClient.sendToOperator(line, mMethod, mPath, "");
         System.out.println(response.body());
         return response.statusCode() < FIRST_ERROR_STATUS ? ExitCode.OK : ExitCode.FAILED;
     }
--- a/app/src/main/java/org/boragegap/app/PathRun.java
+++ b/app/src/main/java/org/boragegap/app/PathRun.java
@@ -17,7 +17,7 @@
 final class PathRun {
     private static final int[] IN_FLIGHT = {1, 64, 512};
     private static final int[] TASK_MS = {0, 50};
-    private static final int SLOTS = 1_024;
+    private static final int MINION_SLOTS = 1_024;
     private static final int CONNECTIONS = 1_024;
     private static final long WARM_UP_MS = 3_000;
     private static final long RUN_MS = 4_000;
@@ -54,7 +54,8 @@
     private record Measured(Histogram histogram, long failed) {}
 
     List<Line> run() throws Exception {
-        EmbeddedDeployment deployment = EmbeddedDeployment.create(DeploymentShape.path(SLOTS));
+        EmbeddedDeployment deployment =
+                EmbeddedDeployment.create(DeploymentSpec.path(MINION_SLOTS));
         deployment.start();
         HttpClient http = HttpClient.create(CONNECTIONS);
         http.start();
@@ -75,10 +76,11 @@
         String minion = deployment.minionAddress();
         String entry = deployment.callerAddresses().get(0);
         String path = "/v1/services/catalogue/requests";
-        loop(http, minion, "/tasks", order(taskMs), inFlight, WARM_UP_MS / 2);
-        loop(http, entry, path, request(taskMs), inFlight, WARM_UP_MS);
-        Measured direct = loop(http, minion, "/tasks", order(taskMs), inFlight, RUN_MS);
-        Measured through = loop(http, entry, path, request(taskMs), inFlight, RUN_MS);
+        runClosedLoop(http, minion, "/tasks", orderBody(taskMs), inFlight, WARM_UP_MS / 2);
+        runClosedLoop(http, entry, path, requestBody(taskMs), inFlight, WARM_UP_MS);
+        Measured direct =
+                runClosedLoop(http, minion, "/tasks", orderBody(taskMs), inFlight, RUN_MS);
+        Measured through = runClosedLoop(http, entry, path, requestBody(taskMs), inFlight, RUN_MS);
         double directP50 = percentile(direct, 50);
         double directP99 = percentile(direct, 99);
         double entryP50 = percentile(through, 50);
@@ -104,7 +106,7 @@
         return "{\"runMs\":" + taskMs + ",\"result\":\"r\"}";
     }
 
-    private static String order(int taskMs) {
+    private static String orderBody(int taskMs) {
         return PlatformJson.write(
                 new TaskOrder(
                         0,
@@ -119,7 +121,7 @@
                         payload(taskMs)));
     }
 
-    private static String request(int taskMs) {
+    private static String requestBody(int taskMs) {
         return "{\"team\":\"team\",\"kind\":\"kind-"
                 + taskMs
                 + "\",\"payload\":\""
@@ -128,7 +130,7 @@
     }
 
     /** Keeps a number of requests in flight for a while. */
-    private static Measured loop(
+    private static Measured runClosedLoop(
             HttpClient http, String address, String path, String body, int inFlight, long ms)
             throws InterruptedException {
         Histogram histogram = new Histogram(3);
@@ -150,7 +152,7 @@
                                     body,
                                     TIMEOUT_MS,
                                     result -> {
-                                        record(histogram, failed, result, startedNs);
+                                        recordResult(histogram, failed, result, startedNs);
                                         next[0].run();
                                     }));
                 };
@@ -161,7 +163,7 @@
         return new Measured(histogram, failed.get());
     }
 
-    private static void record(
+    private static void recordResult(
             Histogram histogram, AtomicLong failed, HttpResult result, long startedNs) {
         boolean good = result instanceof HttpResult.Response response && response.status() == OK;
         if (!good) {
--- a/app/src/main/java/org/boragegap/app/Progress.java
+++ b/app/src/main/java/org/boragegap/app/Progress.java
@@ -8,20 +8,20 @@
  * most every second, so that a log stays readable.
  */
 final class Progress {
-    private static final long EVERY_MS = 1_000;
+    private static final long MIN_INTERVAL_MS = 1_000;
 
-    private final int mAll;
+    private final int mTotal;
     private final boolean mTerminal;
     private final PrintStream mOut;
     private final LongSupplier mNowMs;
-    private long mToldMs;
+    private long mLastPrintedMs;
 
     private Progress(int all, boolean terminal, PrintStream out, LongSupplier nowMs) {
-        mAll = all;
+        mTotal = all;
         mTerminal = terminal;
         mOut = out;
         mNowMs = nowMs;
-        mToldMs = nowMs.getAsLong();
+        mLastPrintedMs = nowMs.getAsLong();
     }
 
     /**
@@ -37,17 +37,17 @@
     }
 
     /** Tells that so many answers have come; each number is told once, in any order. */
-    synchronized void done(int done) {
+    synchronized void update(int done) {
         if (mTerminal) {
-            mOut.printf("\r%d of %d answered", done, mAll);
-            mOut.print(done == mAll ? System.lineSeparator() : "");
+            mOut.printf("\r%d of %d answered", done, mTotal);
+            mOut.print(done == mTotal ? System.lineSeparator() : "");
             mOut.flush();
             return;
         }
         long nowMs = mNowMs.getAsLong();
-        if (done == mAll || nowMs - mToldMs >= EVERY_MS) {
-            mToldMs = nowMs;
-            mOut.printf("%d of %d answered%n", done, mAll);
+        if (done == mTotal || nowMs - mLastPrintedMs >= MIN_INTERVAL_MS) {
+            mLastPrintedMs = nowMs;
+            mOut.printf("%d of %d answered%n", done, mTotal);
         }
     }
 }
--- a/app/src/main/java/org/boragegap/app/QuickstartCommand.java
+++ b/app/src/main/java/org/boragegap/app/QuickstartCommand.java
@@ -34,9 +34,9 @@
     public ExitCode run(CommandLine line) throws Exception {
         Configurator.setRootLevel(Level.WARN);
         if (line.hasOption("platform")) {
-            return servePlatform();
+            return runOnPlatform();
         }
-        EmbeddedDeployment deployment = EmbeddedDeployment.create(DeploymentShape.quickstart());
+        EmbeddedDeployment deployment = EmbeddedDeployment.create(DeploymentSpec.quickstart());
         deployment.start();
         SampleRun run = new SampleRun(deployment, !line.hasOption("json"));
         SampleRun.Summary summary = run.run();
@@ -53,14 +53,14 @@
             new CountDownLatch(1).await();
         }
         deployment.stop();
-        return summary.good() ? ExitCode.OK : ExitCode.FAILED;
+        return summary.passed() ? ExitCode.OK : ExitCode.FAILED;
     }
 
     /** Serves some jobs on stand-ins of the platform's store and targets. */
-    private static ExitCode servePlatform() throws Exception {
+    private static ExitCode runOnPlatform() throws Exception {
         EmbeddedCell cell = EmbeddedCell.create();
         cell.start();
-        int completed = cell.serve(PLATFORM_JOBS);
+        int completed = cell.submitJobs(PLATFORM_JOBS);
         cell.stop();
         System.out.println(completed + " of " + PLATFORM_JOBS + " jobs completed");
         return completed == PLATFORM_JOBS ? ExitCode.OK : ExitCode.FAILED;
--- a/app/src/main/java/org/boragegap/app/SampleRun.java
+++ b/app/src/main/java/org/boragegap/app/SampleRun.java
@@ -25,7 +25,7 @@
     private static final int CONNECTIONS = 128;
     private static final long TIMEOUT_MS = 30_000;
     private static final int OK = 200;
-    private static final double RATIO_UNIT = 1_000.0;
+    private static final double RATIO_SCALE = 1_000.0;
 
     /**
      * What the run gave.
@@ -49,7 +49,7 @@
             double ratioP99,
             long wastedMessages) {
 
-        boolean good() {
+        boolean passed() {
             long expected = (long) jobs * TASKS_PER_JOB + requests;
             return wrong == 0 && startedTwice == 0 && tasksStarted == expected;
         }
@@ -76,15 +76,15 @@
     private final Optional<Progress> mProgress;
     private final ObjectMapper mMapper = new ObjectMapper();
     private final Histogram mRatios = new Histogram(3);
-    private final AtomicInteger mWrong = new AtomicInteger();
-    private final AtomicInteger mDone = new AtomicInteger();
+    private final AtomicInteger mWrongAnswers = new AtomicInteger();
+    private final AtomicInteger mAnswered = new AtomicInteger();
 
     SampleRun(EmbeddedDeployment deployment, boolean showProgress) {
         mDeployment = deployment;
-        mProgress = showProgress ? Optional.of(progress()) : Optional.empty();
+        mProgress = showProgress ? Optional.of(createProgress()) : Optional.empty();
     }
 
-    private static Progress progress() {
+    private static Progress createProgress() {
         boolean terminal = System.console() != null;
         return Progress.create(JOBS + REQUESTS, terminal, System.out, HttpClient::nowMs);
     }
@@ -96,23 +96,23 @@
         List<String> callers = mDeployment.callerAddresses();
         for (int i = 0; i < JOBS; i++) {
             String address = callers.get(i % callers.size());
-            send(http, address, "/v1/jobs", job(i), jobResults(i), left);
+            send(http, address, "/v1/jobs", jobBody(i), expectedResults(i), left);
             TimeUnit.MILLISECONDS.sleep(TASK_MS / 2);
         }
         for (int i = 0; i < REQUESTS; i++) {
             String address = callers.get(i % callers.size());
             String path = "/v1/services/catalogue/requests";
-            send(http, address, path, request(i), List.of("seats:" + i), left);
+            send(http, address, path, requestBody(i), List.of("seats:" + i), left);
         }
         boolean allAnswered = left.await(TIMEOUT_MS * 2, TimeUnit.MILLISECONDS);
         http.stop();
         if (!allAnswered) {
-            mWrong.addAndGet((int) left.getCount());
+            mWrongAnswers.addAndGet((int) left.getCount());
         }
         return summary();
     }
 
-    private static String job(int number) {
+    private static String jobBody(int number) {
         String kind = number % 2 == 0 ? "prerequisite-audit" : "pipe-check";
         List<String> tasks = new ArrayList<>();
         for (int i = 0; i < TASKS_PER_JOB; i++) {
@@ -131,7 +131,7 @@
                 + "]}";
     }
 
-    private static String request(int number) {
+    private static String requestBody(int number) {
         return "{\"team\":\"students\",\"kind\":\"seat-check\",\"idempotent\":true,\"payload\":"
                 + payload("seats:" + number)
                 + "}";
@@ -141,7 +141,7 @@
         return "\"{\\\"runMs\\\":" + TASK_MS + ",\\\"result\\\":\\\"" + result + "\\\"}\"";
     }
 
-    private static List<String> jobResults(int number) {
+    private static List<String> expectedResults(int number) {
         List<String> results = new ArrayList<>();
         for (int i = 0; i < TASKS_PER_JOB; i++) {
             results.add("job" + number + "/" + i);
@@ -164,21 +164,21 @@
                         body,
                         TIMEOUT_MS,
                         result -> {
-                            check(result, expected, startedNs);
+                            checkAnswer(result, expected, startedNs);
                             left.countDown();
                         }));
     }
 
-    private void check(HttpResult result, List<String> expected, long startedNs) {
+    private void checkAnswer(HttpResult result, List<String> expected, long startedNs) {
         double tookMs = (System.nanoTime() - startedNs) / 1e6;
         synchronized (mRatios) {
-            mRatios.recordValue((long) (tookMs / TASK_MS * RATIO_UNIT));
+            mRatios.recordValue((long) (tookMs / TASK_MS * RATIO_SCALE));
         }
         if (!expected.equals(results(result))) {
-            mWrong.incrementAndGet();
+            mWrongAnswers.incrementAndGet();
         }
-        int done = mDone.incrementAndGet();
-        mProgress.ifPresent(progress -> progress.done(done));
+        int done = mAnswered.incrementAndGet();
+        mProgress.ifPresent(progress -> progress.update(done));
     }
 
     private List<String> results(HttpResult result) {
@@ -209,7 +209,8 @@
         }
         long wasted = 0;
         for (String operator : mDeployment.operatorAddresses()) {
-            JsonNode dump = mMapper.readTree(Client.send(operator, "GET", "/dump", "", "").body());
+            JsonNode dump =
+                    mMapper.readTree(CliHttpClient.send(operator, "GET", "/dump", "", "").body());
             JsonNode counters = dump.path("counters");
             wasted += counters.path("REFUSED_STARTS").asLong();
             wasted += counters.path("LOST_STARTS").asLong();
@@ -218,11 +219,11 @@
         return new Summary(
                 JOBS,
                 REQUESTS,
-                mWrong.get(),
+                mWrongAnswers.get(),
                 started,
                 twice,
-                mRatios.getValueAtPercentile(50) / RATIO_UNIT,
-                mRatios.getValueAtPercentile(99) / RATIO_UNIT,
+                mRatios.getValueAtPercentile(50) / RATIO_SCALE,
+                mRatios.getValueAtPercentile(99) / RATIO_SCALE,
                 wasted);
     }
 }
--- a/app/src/main/java/org/boragegap/app/ServeCommand.java
+++ b/app/src/main/java/org/boragegap/app/ServeCommand.java
@@ -25,13 +25,13 @@
      * lease from then on, and no cell starts tasks before. The clock that the process reads later
      * would load the HTTP library first.
      */
-    private final ClockReading mBegan =
+    private final ClockReading mStartTime =
             new ClockReading(System.nanoTime() / NANOS_PER_MS, System.currentTimeMillis());
 
     private LogSetup mLog;
 
     /** Made when first used: by then the log has to be set up. */
-    private static final class Log {
+    private static final class LoggerHolder {
         private static final Logger LOGGER = LogManager.getLogger(ServeCommand.class);
     }
 
@@ -59,8 +59,8 @@
     }
 
     @Override
-    public void beginLog() {
-        mLog = LogSetup.ofProcess();
+    public void configureLogging() {
+        mLog = LogSetup.forEntryProcess();
     }
 
     @Override
@@ -70,7 +70,7 @@
             return ExitCode.USAGE;
         }
         long incarnation = System.currentTimeMillis();
-        mLog.describe(
+        mLog.setProcessFields(
                 Map.of(
                         "vm", settings.text(Setting.PEER_ADDRESS),
                         "failure_domain", settings.text(Setting.FAILURE_DOMAIN),
@@ -83,14 +83,14 @@
         service.start();
         Runtime.getRuntime().addShutdownHook(new Thread(() -> drainAndHalt(service), "drain"));
         service.awaitDrained();
-        finish(service);
+        stopAndHalt(service);
         return ExitCode.OK;
     }
 
     private ExitCode serveCell(String file, Settings settings, long incarnation) throws Exception {
-        settings.replacedValues().forEach(line -> Log.LOGGER.warn("settings: {}", line));
-        HangupSignal.handle(() -> reload(file));
-        CellNode node = CellNode.create(settings, incarnation, mBegan);
+        settings.replacedValues().forEach(line -> LoggerHolder.LOGGER.warn("settings: {}", line));
+        HangupSignal.handle(() -> reloadLogLevel(file));
+        CellNode node = CellNode.create(settings, incarnation, mStartTime);
         node.start();
         Runtime.getRuntime().addShutdownHook(new Thread(() -> drainAndHalt(node), "drain"));
         new CountDownLatch(1).await();
@@ -98,15 +98,16 @@
     }
 
     /** Takes the log level from the changed file; all else is read at the next start. */
-    private static void reload(String file) {
+    private static void reloadLogLevel(String file) {
         Settings.ReadResult read = Settings.read(Path.of(file));
         if (read instanceof Settings.ReadResult.Invalid bad) {
-            Log.LOGGER.error("reload: settings stay as they were: {}", bad.problems());
+            LoggerHolder.LOGGER.error("reload: settings stay as they were: {}", bad.problems());
             return;
         }
         String level = ((Settings.ReadResult.Valid) read).settings().text(Setting.LOG_LEVEL);
         Configurator.setRootLevel(Level.toLevel(level));
-        Log.LOGGER.info("reload: log level {}; other changes count from the next start", level);
+        LoggerHolder.LOGGER.info(
+                "reload: log level {}; other changes count from the next start", level);
     }
 
     private static void drainAndHalt(CellNode node) {
@@ -129,10 +130,10 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        finish(service);
+        stopAndHalt(service);
     }
 
-    private static synchronized void finish(EntryService service) {
+    private static synchronized void stopAndHalt(EntryService service) {
         service.stop();
         LogManager.shutdown();
         Runtime.getRuntime().halt(ExitCode.OK.code());
--- a/app/src/main/java/org/boragegap/app/SizesRun.java
+++ b/app/src/main/java/org/boragegap/app/SizesRun.java
@@ -35,7 +35,7 @@
 final class SizesRun {
     private static final Member SELF = new Member("10.20.30.40:7001", 1_800_000_000_000L);
     private static final Member OTHER = new Member("10.20.30.41:7001", 1_800_000_000_001L);
-    private static final Resources NEED = new Resources(1_000, 512, 0);
+    private static final Resources TASK_RESOURCES = new Resources(1_000, 512, 0);
     private static final int CLAIMS = 100_000;
     private static final int CLAIMS_PER_PART = 2_000;
     private static final int JOBS = 600;
@@ -48,23 +48,23 @@
 
     Map<String, Double> run() throws WireException {
         Map<String, Double> sizes = new LinkedHashMap<>();
-        messages(sizes);
-        transfer(sizes);
-        sizes.put("heapBytesPerClaim", heapPerClaim());
-        sizes.put("heapBytesPerJobOf" + TASKS, heapPerJob());
+        measureMessages(sizes);
+        measureTransfer(sizes);
+        sizes.put("heapBytesPerClaim", heapBytesPerClaim());
+        sizes.put("heapBytesPerJobOf" + TASKS, heapBytesPerJob());
         sizes.put("vmListBytes" + VMS, (double) PlatformJson.write(vmList()).length());
         return sizes;
     }
 
-    private double bytes(PeerMessage message) throws WireException {
+    private double frameBytes(PeerMessage message) throws WireException {
         return mCodec.encode(message).length + Integer.BYTES;
     }
 
-    private double claimBytes(ClaimMessage message) throws WireException {
-        return bytes(new PeerMessage.Claims(SELF, message));
+    private double claimFrameBytes(ClaimMessage message) throws WireException {
+        return frameBytes(new PeerMessage.Claims(SELF, message));
     }
 
-    private void messages(Map<String, Double> sizes) throws WireException {
+    private void measureMessages(Map<String, Double> sizes) throws WireException {
         Claim claim = claim(1);
         DomainView view =
                 new DomainView(
@@ -74,26 +74,29 @@
                         List.of(SELF, OTHER, OTHER),
                         List.of(),
                         1);
-        sizes.put("claimRequestBytes", claimBytes(new ClaimMessage.Request(1L << 62, claim)));
+        sizes.put("claimRequestBytes", claimFrameBytes(new ClaimMessage.Request(1L << 62, claim)));
         sizes.put(
                 "claimGrantedBytes",
-                claimBytes(new ClaimMessage.Granted(1L << 62, claim.key(), 1 << 20)));
+                claimFrameBytes(new ClaimMessage.Granted(1L << 62, claim.key(), 1 << 20)));
         sizes.put(
                 "heartbeatBytes",
-                claimBytes(new ClaimMessage.ViewIs(view, true, 1_000, 1 << 30, 1 << 30)));
-        LoanMessage.Line line = new LoanMessage.Line(1 << 20, "10.20.30.42:80", NEED, 16, 3_000);
+                claimFrameBytes(new ClaimMessage.ViewIs(view, true, 1_000, 1 << 30, 1 << 30)));
+        LoanMessage.Line line =
+                new LoanMessage.Line(1 << 20, "10.20.30.42:80", TASK_RESOURCES, 16, 3_000);
         sizes.put(
                 "loanAskBytes",
-                bytes(new PeerMessage.Loans(SELF.address(), new LoanMessage.Ask("", NEED, 99))));
+                frameBytes(
+                        new PeerMessage.Loans(
+                                SELF.address(), new LoanMessage.Ask("", TASK_RESOURCES, 99))));
         sizes.put(
                 "loanGivenBytesTenTargets",
-                bytes(
+                frameBytes(
                         new PeerMessage.Loans(
                                 SELF.address(),
                                 new LoanMessage.Given(
                                         "", java.util.Collections.nCopies(10, line)))));
-        sizes.put("bundleVersionBytes", bytes(new PeerMessage.BundleVersion(1 << 20)));
-        sizes.put("bundleBytes" + TEAMS + "Teams", bytes(new PeerMessage.BundleIs(bundle())));
+        sizes.put("bundleVersionBytes", frameBytes(new PeerMessage.BundleVersion(1 << 20)));
+        sizes.put("bundleBytes" + TEAMS + "Teams", frameBytes(new PeerMessage.BundleIs(bundle())));
     }
 
     private static Claim claim(long number) {
@@ -114,7 +117,7 @@
     }
 
     /** Time to hand all claims to a newcomer: encoding and decoding, without the network. */
-    private void transfer(Map<String, Double> sizes) throws WireException {
+    private void measureTransfer(Map<String, Double> sizes) throws WireException {
         List<Claim> part = new ArrayList<>();
         for (int i = 0; i < CLAIMS_PER_PART; i++) {
             part.add(claim(i));
@@ -129,10 +132,10 @@
             mCodec.decode(mCodec.encode(message));
         }
         sizes.put("transferMsPer100000Claims", (System.nanoTime() - startedNs) / NS_PER_MS);
-        sizes.put("transferBytesPerClaim", bytes(message) / CLAIMS_PER_PART);
+        sizes.put("transferBytesPerClaim", frameBytes(message) / CLAIMS_PER_PART);
     }
 
-    private static double usedHeap() {
+    private static double usedHeapBytes() {
         Runtime runtime = Runtime.getRuntime();
         for (int i = 0; i < 4; i++) {
             System.gc();
@@ -148,35 +151,35 @@
                         DispatchSettings.defaults("fd", domains),
                         ClaimLimits.defaults(),
                         new SplittableRandom(1));
-        on(dispatcher, new Event.VmsListed(vmList().vms()));
+        deliver(dispatcher, new Event.VmsListed(vmList().vms()));
         return dispatcher;
     }
 
-    private static void on(Dispatcher dispatcher, Event event) {
+    private static void deliver(Dispatcher dispatcher, Event event) {
         dispatcher.onEvent(event, new ClockReading(1, 1), new ArrayList<>());
     }
 
-    private static double heapPerClaim() {
-        double before = usedHeap();
+    private static double heapBytesPerClaim() {
+        double before = usedHeapBytes();
         Dispatcher dispatcher = dispatcher();
         DomainView alone = new DomainView(1, 1, 0, List.of(SELF), List.of(), DomainView.COVERS_ALL);
-        on(
+        deliver(
                 dispatcher,
                 new Event.ClaimMessageReceived(
                         OTHER, new ClaimMessage.ViewIs(alone, true, 0, 1, 1)));
         DomainView both =
                 new DomainView(2, 2, 1, List.of(SELF, OTHER), List.of(), DomainView.COVERS_ALL);
-        on(
+        deliver(
                 dispatcher,
                 new Event.ClaimMessageReceived(
                         OTHER, new ClaimMessage.ViewIs(both, true, 0, 1, 1)));
         for (int i = 0; i < CLAIMS; i++) {
-            on(
+            deliver(
                     dispatcher,
                     new Event.ClaimMessageReceived(
                             OTHER, new ClaimMessage.Request(2, claimOfOther(i))));
         }
-        double perClaim = (usedHeap() - before) / CLAIMS;
+        double perClaim = (usedHeapBytes() - before) / CLAIMS;
         int kept = dispatcher.state(new ClockReading(1, 1)).claimsKept();
         if (kept != CLAIMS) {
             throw new IllegalStateException("only " + kept + " claims were kept");
@@ -189,14 +192,14 @@
         return new Claim(claim.key(), OTHER, number, claim.createdMs(), claim.fingerprint());
     }
 
-    private static double heapPerJob() {
-        double before = usedHeap();
+    private static double heapBytesPerJob() {
+        double before = usedHeapBytes();
         Dispatcher dispatcher = dispatcher();
         for (int i = 0; i < JOBS; i++) {
             CallerRef caller = new CallerRef.HttpCaller(i);
-            on(dispatcher, new Event.Submitted(caller, job(i), true, 0));
+            deliver(dispatcher, new Event.Submitted(caller, job(i), true, 0));
         }
-        double perJob = (usedHeap() - before) / JOBS;
+        double perJob = (usedHeapBytes() - before) / JOBS;
         int unanswered = dispatcher.state(new ClockReading(1, 1)).unanswered();
         return unanswered == 0 ? 0 : perJob;
     }
@@ -204,7 +207,9 @@
     private static Submission job(int number) {
         List<TaskSpec> tasks = new ArrayList<>();
         for (int i = 0; i < TASKS; i++) {
-            tasks.add(new TaskSpec(i, NEED, 1, "payload of about fifty characters, task " + i));
+            tasks.add(
+                    new TaskSpec(
+                            i, TASK_RESOURCES, 1, "payload of about fifty characters, task " + i));
         }
         SubmissionId id =
                 new SubmissionId(
@@ -220,7 +225,7 @@
         List<ListedVm> vms = new ArrayList<>();
         for (int i = 0; i < VMS; i++) {
             String address = "10.20." + i / 250 + "." + i % 250 + ":8080";
-            vms.add(new ListedVm(address, "fd", VmKind.WORKER, "", false, NEED, 16));
+            vms.add(new ListedVm(address, "fd", VmKind.WORKER, "", false, TASK_RESOURCES, 16));
         }
         return new VmList(vms);
     }
--- a/app/src/main/java/org/boragegap/app/StandinCommand.java
+++ b/app/src/main/java/org/boragegap/app/StandinCommand.java
@@ -44,16 +44,16 @@
                                 .required()
                                 .desc("ports: listeners of one log or list, or a target each")
                                 .build())
-                .addOption(valued("retention-ms", "log: how long a record is kept"))
-                .addOption(valued("lag-ms", "vms: lag of the list"))
-                .addOption(valued("list", "vms: file with the first list"))
-                .addOption(valued("cpu-millis", "worker: thousandths of a core"))
-                .addOption(valued("memory-mb", "worker: memory in MiB"))
-                .addOption(valued("accelerators", "worker: accelerators"))
-                .addOption(valued("slots", "tasks at once"));
+                .addOption(optionWithValue("retention-ms", "log: how long a record is kept"))
+                .addOption(optionWithValue("lag-ms", "vms: lag of the list"))
+                .addOption(optionWithValue("list", "vms: file with the first list"))
+                .addOption(optionWithValue("cpu-millis", "worker: thousandths of a core"))
+                .addOption(optionWithValue("memory-mb", "worker: memory in MiB"))
+                .addOption(optionWithValue("accelerators", "worker: accelerators"))
+                .addOption(optionWithValue("slots", "tasks at once"));
     }
 
-    private static Option valued(String name, String meaning) {
+    private static Option optionWithValue(String name, String meaning) {
         return Option.builder().longOpt(name).hasArg().argName("VALUE").desc(meaning).build();
     }
 
@@ -66,7 +66,7 @@
                 Arrays.stream(line.getOptionValue("ports").split(","))
                         .map(Integer::parseInt)
                         .toList();
-        for (Standin standin : standins(line, ports)) {
+        for (Standin standin : createStandins(line, ports)) {
             standin.start();
         }
         System.out.println("ready");
@@ -75,23 +75,27 @@
         return ExitCode.OK;
     }
 
-    private static List<Standin> standins(CommandLine line, List<Integer> ports) throws Exception {
+    private static List<Standin> createStandins(CommandLine line, List<Integer> ports)
+            throws Exception {
         return switch (line.getArgList().get(0)) {
             case "log" ->
                     List.of(
                             LogStandin.create(
-                                    HOST, ports, number(line, "retention-ms", 3_600_000)));
+                                    HOST, ports, numberOption(line, "retention-ms", 3_600_000)));
             case "vms" ->
                     List.of(
                             VmListStandin.create(
-                                    HOST, ports, number(line, "lag-ms", 1_000), list(line)));
-            case "worker" -> targets(line, ports, true);
-            case "minion" -> targets(line, ports, false);
+                                    HOST,
+                                    ports,
+                                    numberOption(line, "lag-ms", 1_000),
+                                    readVmList(line)));
+            case "worker" -> createTargets(line, ports, true);
+            case "minion" -> createTargets(line, ports, false);
             default -> throw new UsageException("expected one of log, vms, worker, minion");
         };
     }
 
-    private static VmList list(CommandLine line) throws Exception {
+    private static VmList readVmList(CommandLine line) throws Exception {
         if (!line.hasOption("list")) {
             return new VmList(List.of());
         }
@@ -99,15 +103,15 @@
         return PlatformJson.read(text, VmList.class);
     }
 
-    private static List<Standin> targets(CommandLine line, List<Integer> ports, boolean workers)
-            throws UsageException {
+    private static List<Standin> createTargets(
+            CommandLine line, List<Integer> ports, boolean workers) throws UsageException {
         ScheduledExecutorService timer = Executors.newScheduledThreadPool(2);
         Resources capacity =
                 new Resources(
-                        (int) number(line, "cpu-millis", 16_000),
-                        (int) number(line, "memory-mb", 32_768),
-                        (int) number(line, "accelerators", 0));
-        int slots = (int) number(line, "slots", workers ? 64 : 8);
+                        (int) numberOption(line, "cpu-millis", 16_000),
+                        (int) numberOption(line, "memory-mb", 32_768),
+                        (int) numberOption(line, "accelerators", 0));
+        int slots = (int) numberOption(line, "slots", workers ? 64 : 8);
         List<Standin> targets = new ArrayList<>();
         for (int port : ports) {
             targets.add(
@@ -118,7 +122,7 @@
         return targets;
     }
 
-    private static long number(CommandLine line, String option, long fallback)
+    private static long numberOption(CommandLine line, String option, long fallback)
             throws UsageException {
         try {
             return Long.parseLong(line.getOptionValue(option, Long.toString(fallback)));
--- a/app/src/main/java/org/boragegap/app/SubmitCommand.java
+++ b/app/src/main/java/org/boragegap/app/SubmitCommand.java
@@ -60,7 +60,7 @@
                         ? "/v1/services/" + line.getOptionValue("service") + "/requests"
                         : "/v1/jobs";
         HttpResponse<String> response =
-                Client.send(line.getOptionValue("to"), "POST", path, body, "");
+                CliHttpClient.send(line.getOptionValue("to"), "POST", path, body, "");
         System.out.println(response.body());
         return exitCode(response);
     }
--- a/app/src/test/java/org/boragegap/app/CellPathTest.java
+++ b/app/src/test/java/org/boragegap/app/CellPathTest.java
@@ -74,7 +74,7 @@
     }
 
     private void configure(int version, String... prefixes) {
-        SampleCalls.configure(mStore, version, prefixes);
+        SampleCalls.putConfiguration(mStore, version, prefixes);
     }
 
     private void startNode() throws Exception {
@@ -123,7 +123,7 @@
     }
 
     private CompletableFuture<Answer> submitLater(int node, String path, int tasks, String spec) {
-        String body = SampleCalls.job(tasks, spec);
+        String body = SampleCalls.jobBody(tasks, spec);
         return send(node, path, HttpRequest.BodyPublishers.ofString(body));
     }
 
@@ -191,7 +191,7 @@
             Map<String, Integer> starts = starts();
             assertThat(starts).hasSize(2 * 20 + 2);
             assertThat(starts.values().stream().allMatch(count -> count == 1)).isTrue();
-            mTargets.forEach(target -> assertThat(target.mostRunning()).isAtMost(2));
+            mTargets.forEach(target -> assertThat(target.maxRunning()).isAtMost(2));
         }
 
         @Test
@@ -259,10 +259,10 @@
          */
         @Test
         void lostAnswersStartNothingTwiceAtATime() throws Exception {
-            mTargets.forEach(target -> target.answers(CellTargetStandin.Answers.LOST));
+            mTargets.forEach(target -> target.answerMode(CellTargetStandin.AnswerMode.LOST));
             Answer answer = submit(0, "00000000000000ca", 2, "100");
             assertThat(answer.status()).isEqualTo(200);
-            mTargets.forEach(target -> assertThat(target.mostRunning()).isAtMost(2));
+            mTargets.forEach(target -> assertThat(target.maxRunning()).isAtMost(2));
         }
 
         /** A target reports that it leaves. Nothing more starts there; the other one serves. */
--- a/app/src/test/java/org/boragegap/app/EmbeddedCellTest.java
+++ b/app/src/test/java/org/boragegap/app/EmbeddedCellTest.java
@@ -15,7 +15,7 @@
     void aDeploymentWithoutALayoutDecidesOnOne() throws Exception {
         EmbeddedCell deployment = EmbeddedCell.create();
         deployment.start();
-        assertThat(deployment.serve(JOBS)).isEqualTo(JOBS);
+        assertThat(deployment.submitJobs(JOBS)).isEqualTo(JOBS);
         deployment.stop();
     }
 
@@ -28,9 +28,9 @@
         CellLayout layout = CellLayout.ofCells(2);
         EmbeddedCell deployment = EmbeddedCell.withLayout(layout);
         deployment.start();
-        assertThat(deployment.serve(JOBS)).isEqualTo(JOBS);
+        assertThat(deployment.submitJobs(JOBS)).isEqualTo(JOBS);
         for (int cell = 0; cell < 2; cell++) {
-            Set<String> started = deployment.startedIn(layout, cell);
+            Set<String> started = deployment.startedTasks(layout, cell);
             assertThat(started).isNotEmpty();
             for (String task : started) {
                 String job = task.substring(0, task.indexOf('.'));
--- a/app/src/test/java/org/boragegap/app/JsonLinesTest.java
+++ b/app/src/test/java/org/boragegap/app/JsonLinesTest.java
@@ -34,7 +34,7 @@
 
     @Test
     void aDecisionStandsWithItsFields() throws Exception {
-        mLines.describe(Map.of("vm", "10.1.0.13:7720"));
+        mLines.setProcessFields(Map.of("vm", "10.1.0.13:7720"));
         StringMapMessage message = new StringMapMessage();
         message.put("what", "refuse");
         message.put("inputs", "reason=\"none\"\n");
--- a/app/src/test/java/org/boragegap/app/ProcessDeployment.java
+++ b/app/src/test/java/org/boragegap/app/ProcessDeployment.java
@@ -242,11 +242,11 @@
     }
 
     static HttpResponse<String> get(String address, String path) throws Exception {
-        return Client.send(address, "GET", path, "", "");
+        return CliHttpClient.send(address, "GET", path, "", "");
     }
 
     static HttpResponse<String> post(String address, String path, String body) throws Exception {
-        return Client.send(address, "POST", path, body, "");
+        return CliHttpClient.send(address, "POST", path, body, "");
     }
 
     static JsonNode json(HttpResponse<String> response) throws IOException {
--- a/app/src/test/java/org/boragegap/app/ProgressTest.java
+++ b/app/src/test/java/org/boragegap/app/ProgressTest.java
@@ -26,7 +26,7 @@
         Progress progress = Progress.create(50, false, mOut, () -> mNowMs);
         for (int done = 1; done <= 50; done++) {
             mNowMs += 50;
-            progress.done(done);
+            progress.update(done);
         }
         assertThat(lines())
                 .containsExactly("20 of 50 answered", "40 of 50 answered", "50 of 50 answered")
@@ -36,8 +36,8 @@
     @Test
     void onATerminalItWritesOverItsLine() {
         Progress progress = Progress.create(2, true, mOut, () -> mNowMs);
-        progress.done(1);
-        progress.done(2);
+        progress.update(1);
+        progress.update(2);
         assertThat(mBytes.toString(StandardCharsets.UTF_8))
                 .isEqualTo("\r1 of 2 answered\r2 of 2 answered" + System.lineSeparator());
     }
--- a/standin/src/main/java/org/boragegap/standin/CellTargetStandin.java
+++ b/standin/src/main/java/org/boragegap/standin/CellTargetStandin.java
@@ -22,17 +22,17 @@
  * in ms.
  */
 public final class CellTargetStandin implements Standin {
-    private static final int MOST_BODY_BYTES = 1024 * 1024;
+    private static final int MAX_BODY_BYTES = 1024 * 1024;
     private static final int OK = 200;
     private static final int BAD_REQUEST = 400;
     private static final int CONFLICT = 409;
     private static final int OTHER_INCARNATION = 421;
-    private static final long LEASE_MOST_MS = 1_000;
-    private static final long STEP_MS = 5;
+    private static final long MAX_LEASE_MS = 1_000;
+    private static final long TICK_INTERVAL_MS = 5;
     private static final long CLOCK_OFFSET_MS = 480_000;
 
     /** How orders are answered. */
-    public enum Answers {
+    public enum AnswerMode {
         /** At once. */
         PROMPT,
         /** Carried out, and not answered. */
@@ -43,9 +43,9 @@
 
     private record Run(int number, long endsMs) {}
 
-    private record Ended(long number, String task, int run, String how) {}
+    private record EndedRun(long cursor, String task, int run, String cause) {}
 
-    private record Held(IncomingRequest in, long untilMs) {}
+    private record HeldCall(IncomingRequest request, long untilMs) {}
 
     private final String mId;
     private final String mAddress;
@@ -54,15 +54,15 @@
     private final StoreStandin mStore;
     private final ScheduledExecutorService mTimer;
     private final Map<String, Run> mRunning = new HashMap<>();
-    private final Map<String, Integer> mSeenRuns = new HashMap<>();
+    private final Map<String, Integer> mHighestRuns = new HashMap<>();
     private final Map<String, Integer> mStarts = new HashMap<>();
-    private final List<Ended> mEnded = new ArrayList<>();
-    private final List<Held> mHeld = new ArrayList<>();
+    private final List<EndedRun> mEnded = new ArrayList<>();
+    private final List<HeldCall> mHeldCalls = new ArrayList<>();
     private long mFence;
-    private long mLeaseMs;
-    private long mNextEnd = 1;
-    private int mMostRunning;
-    private Answers mAnswers = Answers.PROMPT;
+    private long mLeaseEndMs;
+    private long mNextCursor = 1;
+    private int mMaxRunning;
+    private AnswerMode mAnswerMode = AnswerMode.PROMPT;
 
     private CellTargetStandin(
             String id,
@@ -74,7 +74,7 @@
         mId = id;
         mAddress = host + ":" + port;
         mService = service;
-        mEndpoint = HttpEndpoint.create(id, host, port, MOST_BODY_BYTES, this::handle);
+        mEndpoint = HttpEndpoint.create(id, host, port, MAX_BODY_BYTES, this::handle);
         mStore = store;
         mTimer = timer;
     }
@@ -94,7 +94,8 @@
     public void start() throws IOException {
         mEndpoint.start();
         register("ready");
-        mTimer.scheduleAtFixedRate(this::step, STEP_MS, STEP_MS, TimeUnit.MILLISECONDS);
+        mTimer.scheduleAtFixedRate(
+                this::tick, TICK_INTERVAL_MS, TICK_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
     @Override
@@ -123,8 +124,8 @@
     }
 
     /** Changes how orders are answered from now on. */
-    public synchronized void answers(Answers answers) {
-        mAnswers = answers;
+    public synchronized void answerMode(AnswerMode answers) {
+        mAnswerMode = answers;
     }
 
     /** How often each task was started here. */
@@ -133,8 +134,8 @@
     }
 
     /** Most runs that were at work at one moment. */
-    public synchronized int mostRunning() {
-        return mMostRunning;
+    public synchronized int maxRunning() {
+        return mMaxRunning;
     }
 
     private static long clockMs() {
@@ -148,21 +149,21 @@
         }
         try {
             JsonNode call = PlatformJson.tree(in.body());
-            if (mode() == Answers.LATE && !in.path().equals("/hold")) {
-                mTimer.schedule(() -> carryOut(in, call), 2, TimeUnit.SECONDS);
+            if (mode() == AnswerMode.LATE && !in.path().equals("/hold")) {
+                mTimer.schedule(() -> execute(in, call), 2, TimeUnit.SECONDS);
             } else {
-                carryOut(in, call);
+                execute(in, call);
             }
         } catch (PlatformException e) {
             in.reply(BAD_REQUEST, "{}");
         }
     }
 
-    private synchronized Answers mode() {
-        return mAnswers;
+    private synchronized AnswerMode mode() {
+        return mAnswerMode;
     }
 
-    private synchronized void carryOut(IncomingRequest in, JsonNode call) {
+    private synchronized void execute(IncomingRequest in, JsonNode call) {
         if (call.path("Fence").asLong() < mFence) {
             in.reply(CONFLICT, refusal("fence"));
             return;
@@ -178,7 +179,7 @@
 
     /** An empty reason is success. */
     private void answer(IncomingRequest in, String reason) {
-        if (mAnswers != Answers.PROMPT) {
+        if (mAnswerMode != AnswerMode.PROMPT) {
             in.drop();
         } else if (reason.isEmpty()) {
             in.reply(OK, "{\"ClockMs\":" + clockMs() + "}");
@@ -191,8 +192,8 @@
         return PlatformJson.object().put("ClockMs", clockMs()).put("Reason", reason).toString();
     }
 
-    private void extendTo(long untilMs) {
-        mLeaseMs = Math.max(mLeaseMs, Math.min(untilMs, clockMs() + LEASE_MOST_MS));
+    private void extendLease(long untilMs) {
+        mLeaseEndMs = Math.max(mLeaseEndMs, Math.min(untilMs, clockMs() + MAX_LEASE_MS));
     }
 
     private String start(JsonNode call) {
@@ -201,60 +202,60 @@
         if (call.path("UntilMs").asLong() <= clockMs()) {
             return "late";
         }
-        extendTo(call.path("UntilMs").asLong());
+        extendLease(call.path("UntilMs").asLong());
         Run running = mRunning.get(task);
         if (running != null && running.number() == number) {
             return "";
         }
-        if (number <= mSeenRuns.getOrDefault(task, 0)) {
+        if (number <= mHighestRuns.getOrDefault(task, 0)) {
             return "old";
         }
-        mSeenRuns.put(task, number);
+        mHighestRuns.put(task, number);
         mStarts.merge(task, 1, Integer::sum);
         mRunning.put(task, new Run(number, clockMs() + call.path("Spec").asLong()));
-        mMostRunning = Math.max(mMostRunning, mRunning.size());
+        mMaxRunning = Math.max(mMaxRunning, mRunning.size());
         return "";
     }
 
     private String stop(JsonNode call) {
         String task = call.path("Task").asText();
         int number = call.path("Run").asInt();
-        mSeenRuns.merge(task, number, Math::max);
+        mHighestRuns.merge(task, number, Math::max);
         Run running = mRunning.get(task);
         if (running != null && running.number() == number) {
-            end(task, running, "stopped");
+            endRun(task, running, "stopped");
         }
         return "";
     }
 
     private void hold(IncomingRequest in, JsonNode call) {
-        extendTo(call.path("UntilMs").asLong());
-        mEnded.removeIf(row -> row.number() <= call.path("AckCursor").asLong());
-        mHeld.add(new Held(in, clockMs() + call.path("WaitMs").asLong()));
-        answerHeld();
+        extendLease(call.path("UntilMs").asLong());
+        mEnded.removeIf(row -> row.cursor() <= call.path("AckCursor").asLong());
+        mHeldCalls.add(new HeldCall(in, clockMs() + call.path("WaitMs").asLong()));
+        answerHeldCalls();
     }
 
-    private synchronized void step() {
-        boolean lapsed = clockMs() >= mLeaseMs;
+    private synchronized void tick() {
+        boolean lapsed = clockMs() >= mLeaseEndMs;
         for (String task : List.copyOf(mRunning.keySet())) {
             Run run = mRunning.get(task);
             if (lapsed || clockMs() >= run.endsMs()) {
-                end(task, run, lapsed ? "lapsed" : "done");
+                endRun(task, run, lapsed ? "lapsed" : "done");
             }
         }
-        answerHeld();
+        answerHeldCalls();
     }
 
-    private void end(String task, Run run, String how) {
+    private void endRun(String task, Run run, String how) {
         mRunning.remove(task);
-        mEnded.add(new Ended(mNextEnd++, task, run.number(), how));
+        mEnded.add(new EndedRun(mNextCursor++, task, run.number(), how));
     }
 
-    private void answerHeld() {
-        for (Held held : List.copyOf(mHeld)) {
+    private void answerHeldCalls() {
+        for (HeldCall held : List.copyOf(mHeldCalls)) {
             if (!mEnded.isEmpty() || clockMs() >= held.untilMs()) {
-                mHeld.remove(held);
-                held.in().reply(OK, report());
+                mHeldCalls.remove(held);
+                held.request().reply(OK, report());
             }
         }
     }
@@ -266,12 +267,12 @@
         mRunning.forEach(
                 (task, run) -> running.addArray().add(task).add(run.number()).add("").add(50));
         ArrayNode ended = report.putArray("Ended");
-        for (Ended row : mEnded) {
+        for (EndedRun row : mEnded) {
             ended.addArray()
-                    .add(row.number())
+                    .add(row.cursor())
                     .add(row.task())
                     .add(row.run())
-                    .add(row.how())
+                    .add(row.cause())
                     .add("");
         }
         return report.toString();
--- a/standin/src/main/java/org/boragegap/standin/LogStandin.java
+++ b/standin/src/main/java/org/boragegap/standin/LogStandin.java
@@ -20,8 +20,8 @@
  * off from it and not the others.
  */
 public final class LogStandin implements Standin {
-    private static final int MOST_BODY_BYTES = 1024 * 1024;
-    private static final int PAGE_RECORDS = 500;
+    private static final int MAX_BODY_BYTES = 1024 * 1024;
+    private static final int MAX_PAGE_RECORDS = 500;
     private static final int OK = 200;
     private static final int BAD_REQUEST = 400;
     private static final int NOT_FOUND = 404;
@@ -30,8 +30,9 @@
     private final LogMode[] mModes;
     private final long mRetentionMs;
     private final Deque<LogPage.Item> mRecords = new ArrayDeque<>();
-    private final ScheduledExecutorService mDelays = Executors.newSingleThreadScheduledExecutor();
-    private long mNext;
+    private final ScheduledExecutorService mScheduler =
+            Executors.newSingleThreadScheduledExecutor();
+    private long mNextOffset;
     private volatile long mSlowMs = 500;
     private long mAppends;
     private long mReads;
@@ -47,7 +48,7 @@
                             "log-" + i,
                             host,
                             ports.get(i),
-                            MOST_BODY_BYTES,
+                            MAX_BODY_BYTES,
                             in -> handle(listener, in)));
         }
     }
@@ -67,7 +68,7 @@
     @Override
     public void stop() {
         mEndpoints.forEach(HttpEndpoint::stop);
-        mDelays.shutdownNow();
+        mScheduler.shutdownNow();
     }
 
     private void handle(int listener, IncomingRequest in) {
@@ -76,7 +77,7 @@
         } else if (in.path().equals("/stats")) {
             in.reply(OK, "{\"appends\":" + mAppends + ",\"reads\":" + mReads + "}");
         } else if (mModes[listener] == LogMode.SLOW) {
-            mDelays.schedule(() -> serve(listener, in), mSlowMs, TimeUnit.MILLISECONDS);
+            mScheduler.schedule(() -> serve(listener, in), mSlowMs, TimeUnit.MILLISECONDS);
         } else {
             serve(listener, in);
         }
@@ -104,20 +105,20 @@
             in.drop();
             return;
         }
-        expire();
+        removeExpired();
         if (in.path().equals("/append")) {
             mAppends++;
-            mRecords.add(new LogPage.Item(mNext++, System.currentTimeMillis(), in.text()));
-            answer(mode, in, "{\"offset\":" + (mNext - 1) + "}");
+            mRecords.add(new LogPage.Item(mNextOffset++, System.currentTimeMillis(), in.text()));
+            answer(mode, in, "{\"offset\":" + (mNextOffset - 1) + "}");
         } else if (in.path().equals("/read")) {
             mReads++;
-            answer(mode, in, PlatformJson.write(page(from(in))));
+            answer(mode, in, PlatformJson.write(page(parseFrom(in))));
         } else {
             in.reply(NOT_FOUND, "{\"error\":\"no such path\"}");
         }
     }
 
-    private static long from(IncomingRequest in) {
+    private static long parseFrom(IncomingRequest in) {
         try {
             return Long.parseLong(in.query("from").orElse("0"));
         } catch (NumberFormatException e) {
@@ -133,7 +134,7 @@
         }
     }
 
-    private void expire() {
+    private void removeExpired() {
         long oldest = System.currentTimeMillis() - mRetentionMs;
         while (!mRecords.isEmpty() && mRecords.peek().atMs() < oldest) {
             mRecords.poll();
@@ -143,12 +144,13 @@
     private LogPage page(long from) {
         List<LogPage.Item> items = new ArrayList<>();
         for (LogPage.Item item : mRecords) {
-            if (item.offset() >= from && items.size() < PAGE_RECORDS) {
+            if (item.offset() >= from && items.size() < MAX_PAGE_RECORDS) {
                 items.add(item);
             }
         }
-        long first = mRecords.isEmpty() ? mNext : mRecords.peek().offset();
-        long next = items.isEmpty() ? mNext : items.get(items.size() - 1).offset() + 1;
-        return new LogPage(first, next, mNext, System.currentTimeMillis(), mRetentionMs, items);
+        long first = mRecords.isEmpty() ? mNextOffset : mRecords.peek().offset();
+        long next = items.isEmpty() ? mNextOffset : items.get(items.size() - 1).offset() + 1;
+        return new LogPage(
+                first, next, mNextOffset, System.currentTimeMillis(), mRetentionMs, items);
     }
 }
--- a/standin/src/main/java/org/boragegap/standin/LoopbackPorts.java
+++ b/standin/src/main/java/org/boragegap/standin/LoopbackPorts.java
@@ -12,23 +12,24 @@
  * of those could take a port between the look and its use.
  */
 public final class LoopbackPorts {
-    private static final int FIRST = 10_000;
-    private static final int COUNT = 20_000;
-    private static final int STRIDE = 211;
+    private static final int FIRST_PORT = 10_000;
+    private static final int PORT_COUNT = 20_000;
+    private static final int PID_STRIDE = 211;
     private static final AtomicInteger sNext =
-            new AtomicInteger((int) (ProcessHandle.current().pid() * STRIDE % COUNT));
+            new AtomicInteger((int) (ProcessHandle.current().pid() * PID_STRIDE % PORT_COUNT));
 
     private LoopbackPorts() {}
 
     /** A port that was free a moment ago, and that this process hasn't given out yet. */
     public static int next() throws IOException {
-        for (int tries = 0; tries < COUNT; tries++) {
-            int port = FIRST + Math.floorMod(sNext.getAndIncrement(), COUNT);
+        for (int tries = 0; tries < PORT_COUNT; tries++) {
+            int port = FIRST_PORT + Math.floorMod(sNext.getAndIncrement(), PORT_COUNT);
             if (isFree(port)) {
                 return port;
             }
         }
-        throw new IOException("no free port from " + FIRST + " to " + (FIRST + COUNT));
+        throw new IOException(
+                "no free port from " + FIRST_PORT + " to " + (FIRST_PORT + PORT_COUNT));
     }
 
     private static boolean isFree(int port) {
--- a/standin/src/main/java/org/boragegap/standin/SampleCalls.java
+++ b/standin/src/main/java/org/boragegap/standin/SampleCalls.java
@@ -14,8 +14,8 @@
     public static final String HOST = "127.0.0.1";
 
     private static final int TIMEOUT_MS = 5_000;
-    private static final int AIM_MS = 5_000;
-    private static final int MOST_ATTEMPTS = 3;
+    private static final int TARGET_DURATION_MS = 5_000;
+    private static final int MAX_ATTEMPTS = 3;
     private static final double STRETCH = 1.6;
     private static final int TASK_CPU_MILLIS = 1_000;
     private static final int TASK_MEMORY_MB = 10;
@@ -24,7 +24,7 @@
     private SampleCalls() {}
 
     /** Puts a configuration with a queue for each path prefix into a store. */
-    public static void configure(StoreStandin store, int version, String... prefixes) {
+    public static void putConfiguration(StoreStandin store, int version, String... prefixes) {
         ObjectNode configuration = PlatformJson.object().put("Version", version);
         ArrayNode routes = configuration.putArray("Routes");
         for (String prefix : prefixes) {
@@ -33,10 +33,10 @@
                     .put("Host", HOST)
                     .put("PathPrefix", prefix)
                     .put("TimeoutMs", TIMEOUT_MS)
-                    .put("TargetDurationMs", AIM_MS)
+                    .put("TargetDurationMs", TARGET_DURATION_MS)
                     .put("Priority", 0)
                     .put("Service", SERVICE)
-                    .put("MaxAttempts", MOST_ATTEMPTS)
+                    .put("MaxAttempts", MAX_ATTEMPTS)
                     .put("Stretch", STRETCH);
         }
         configuration
@@ -53,7 +53,7 @@
      * @param tasks how many tasks it has
      * @param spec what a target stand-in is to do; a number is the run time in ms
      */
-    public static String job(int tasks, String spec) {
+    public static String jobBody(int tasks, String spec) {
         ObjectNode job = PlatformJson.object().put("Spec", spec).put("BestEffort", true);
         job.putArray("Steps")
                 .addObject()
--- a/standin/src/main/java/org/boragegap/standin/StoreStandin.java
+++ b/standin/src/main/java/org/boragegap/standin/StoreStandin.java
@@ -24,28 +24,28 @@
 
 /** Stands in for the platform's store: keyed topics and one group, in memory. */
 public final class StoreStandin implements Standin {
-    private static final int MOST_BODY_BYTES = 1024 * 1024;
+    private static final int MAX_BODY_BYTES = 1024 * 1024;
     private static final int PARTITIONS = 12;
     private static final int OK = 200;
     private static final int GONE = 410;
     private static final int UNAVAILABLE = 503;
     private static final int NOT_FOUND = 404;
-    private static final int NOT_AT_THIS_OFFSET = 412;
-    private static final long LOOK_MS = 10;
+    private static final int PRECONDITION_FAILED = 412;
+    private static final long READ_POLL_INTERVAL_MS = 10;
 
     private record Entry(String key, byte[] value) {}
 
     private static final class Topic {
         private final List<Entry> mRecords = new ArrayList<>();
-        private long mFirst;
+        private long mFirstOffset;
 
-        private long end() {
-            return mFirst + mRecords.size();
+        private long endOffset() {
+            return mFirstOffset + mRecords.size();
         }
     }
 
     private static final class Member {
-        private long mJoinedMs;
+        private long mLastJoinMs;
         private long mLeaseMs;
         private List<String> mTopics = List.of();
     }
@@ -58,7 +58,7 @@
     private boolean mDown;
 
     private StoreStandin(String host, int port, ScheduledExecutorService timer) {
-        mEndpoint = HttpEndpoint.create("store", host, port, MOST_BODY_BYTES, this::handle);
+        mEndpoint = HttpEndpoint.create("store", host, port, MAX_BODY_BYTES, this::handle);
         mTimer = timer;
     }
 
@@ -92,10 +92,10 @@
     public synchronized void compact(String name) {
         Topic topic = topic(name);
         Map<String, Entry> newest = newest(topic);
-        long end = topic.end();
+        long end = topic.endOffset();
         topic.mRecords.clear();
         topic.mRecords.addAll(newest.values());
-        topic.mFirst = end;
+        topic.mFirstOffset = end;
     }
 
     /** Takes it down, or brings it back. */
@@ -145,7 +145,7 @@
     // The group
 
     private synchronized String join(JsonNode call) {
-        expire();
+        removeExpiredMembers();
         String name = call.path("Member").asText();
         Member member = mMembers.get(name);
         if (member == null) {
@@ -153,7 +153,7 @@
             mMembers.put(name, member);
             mGeneration++;
         }
-        member.mJoinedMs = nowMs();
+        member.mLastJoinMs = nowMs();
         member.mLeaseMs = call.path("TtlMs").asLong();
         List<String> topics = new ArrayList<>();
         call.path("Topics").forEach(topic -> topics.add(topic.asText()));
@@ -188,16 +188,17 @@
     }
 
     private synchronized String owners() {
-        expire();
+        removeExpiredMembers();
         ObjectNode answer = PlatformJson.object();
         ArrayNode parts = answer.putArray("parts");
         mMembers.keySet().forEach(name -> parts.addArray().add("cells").add(0).add(name).add(0));
         return answer.toString();
     }
 
-    private void expire() {
+    private void removeExpiredMembers() {
         boolean gone =
-                mMembers.values().removeIf(member -> nowMs() - member.mJoinedMs > member.mLeaseMs);
+                mMembers.values()
+                        .removeIf(member -> nowMs() - member.mLastJoinMs > member.mLeaseMs);
         if (gone) {
             mGeneration++;
         }
@@ -219,16 +220,16 @@
             item.put("Value", Base64.getEncoder().encodeToString(entry.value()));
         }
         answer.put("HasMore", false);
-        answer.put("End", topic.end());
+        answer.put("End", topic.endOffset());
         return answer.toString();
     }
 
     /** Takes one record of a keyed topic, on the condition that the topic ends where it says. */
     private synchronized void append(IncomingRequest in) {
         Topic topic = topic(in.query("Topic").orElse(""));
-        long at = Long.parseLong(in.query("At").orElse(Long.toString(topic.end())));
-        if (at != topic.end()) {
-            in.reply(NOT_AT_THIS_OFFSET, "{\"End\":" + topic.end() + "}");
+        long at = Long.parseLong(in.query("At").orElse(Long.toString(topic.endOffset())));
+        if (at != topic.endOffset()) {
+            in.reply(PRECONDITION_FAILED, "{\"End\":" + topic.endOffset() + "}");
             return;
         }
         ByteBuffer record = ByteBuffer.wrap(in.body());
@@ -238,7 +239,7 @@
         String key = new String(content, 1, keyLength, StandardCharsets.UTF_8);
         byte[] value = Arrays.copyOfRange(content, 1 + keyLength, content.length);
         topic.mRecords.add(new Entry(key, value));
-        in.reply(OK, "{\"Offset\":" + at + ",\"End\":" + topic.end() + "}");
+        in.reply(OK, "{\"Offset\":" + at + ",\"End\":" + topic.endOffset() + "}");
     }
 
     private void read(IncomingRequest in, long sinceNanos) {
@@ -246,31 +247,32 @@
         long from = Long.parseLong(in.query("From").orElse("0"));
         long waitMs = Long.parseLong(in.query("WaitMs").orElse("0"));
         long waitedMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sinceNanos);
-        if (gone(name, from)) {
+        if (isCompacted(name, from)) {
             in.reply(GONE, "{}");
         } else if (waitedMs < waitMs && isEmpty(name, from)) {
-            mTimer.schedule(() -> read(in, sinceNanos), LOOK_MS, TimeUnit.MILLISECONDS);
+            mTimer.schedule(
+                    () -> read(in, sinceNanos), READ_POLL_INTERVAL_MS, TimeUnit.MILLISECONDS);
         } else {
-            in.reply(OK, records(name, from));
+            in.reply(OK, encodeRecords(name, from));
         }
     }
 
-    private synchronized boolean gone(String name, long from) {
-        return from < topic(name).mFirst;
+    private synchronized boolean isCompacted(String name, long from) {
+        return from < topic(name).mFirstOffset;
     }
 
     private synchronized boolean isEmpty(String name, long from) {
-        return from >= topic(name).end();
+        return from >= topic(name).endOffset();
     }
 
-    private synchronized byte[] records(String name, long from) {
+    private synchronized byte[] encodeRecords(String name, long from) {
         Topic topic = topic(name);
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (DataOutputStream out = new DataOutputStream(bytes)) {
-            out.writeLong(topic.end());
-            out.writeLong(topic.mFirst);
-            for (long at = from; at < topic.end(); at++) {
-                write(out, topic.mRecords.get((int) (at - topic.mFirst)));
+            out.writeLong(topic.endOffset());
+            out.writeLong(topic.mFirstOffset);
+            for (long at = from; at < topic.endOffset(); at++) {
+                writeRecord(out, topic.mRecords.get((int) (at - topic.mFirstOffset)));
             }
         } catch (IOException e) {
             throw new IllegalStateException("writing to memory failed", e);
@@ -278,7 +280,7 @@
         return bytes.toByteArray();
     }
 
-    private static void write(DataOutputStream out, Entry entry) throws IOException {
+    private static void writeRecord(DataOutputStream out, Entry entry) throws IOException {
         byte[] key = entry.key().getBytes(StandardCharsets.UTF_8);
         out.writeInt(1 + key.length + entry.value().length);
         out.writeByte(key.length);
--- a/standin/src/main/java/org/boragegap/standin/TargetMode.java
+++ b/standin/src/main/java/org/boragegap/standin/TargetMode.java
@@ -19,7 +19,7 @@
     /** Runs what it is given and cuts the answer short. */
     CUT_SHORT;
 
-    boolean starts() {
+    boolean startsTasks() {
         return this != LEAVING && this != BUSY;
     }
 }
--- a/standin/src/main/java/org/boragegap/standin/TargetStandin.java
+++ b/standin/src/main/java/org/boragegap/standin/TargetStandin.java
@@ -26,14 +26,14 @@
  * proportion. A minion runs as many as it has slots; more of them wait in its own queue.
  */
 public final class TargetStandin implements Standin {
-    private static final int MOST_BODY_BYTES = 1024 * 1024;
+    private static final int MAX_BODY_BYTES = 1024 * 1024;
     private static final int OK = 200;
     private static final int REFUSED = 409;
     private static final int FAILED = 500;
     private static final int BAD_REQUEST = 400;
 
-    private record Running(
-            IncomingRequest in, TaskOrder order, TaskPayload payload, long startedMs) {}
+    private record AcceptedTask(
+            IncomingRequest request, TaskOrder order, TaskPayload payload, long startedMs) {}
 
     private final HttpEndpoint mEndpoint;
     private final Role mRole;
@@ -41,14 +41,14 @@
     private final int mSlots;
     private final ScheduledExecutorService mTimer;
     private final Map<String, AtomicInteger> mStarts = new ConcurrentHashMap<>();
-    private final Map<String, ScheduledFuture<?>> mEnds = new ConcurrentHashMap<>();
-    private final Map<String, Running> mRunning = new ConcurrentHashMap<>();
-    private final Deque<Running> mQueue = new ArrayDeque<>();
+    private final Map<String, ScheduledFuture<?>> mScheduledEnds = new ConcurrentHashMap<>();
+    private final Map<String, AcceptedTask> mRunning = new ConcurrentHashMap<>();
+    private final Deque<AcceptedTask> mQueue = new ArrayDeque<>();
     private final AtomicInteger mTotalStarts = new AtomicInteger();
     private volatile TargetMode mMode = TargetMode.NORMAL;
     private int mUsedSlots;
     private int mUsedCpuMillis;
-    private int mMostSlots;
+    private int mMaxUsedSlots;
 
     private TargetStandin(
             String host,
@@ -57,8 +57,7 @@
             Resources capacity,
             int slots,
             ScheduledExecutorService timer) {
-        mEndpoint =
-                HttpEndpoint.create("target-" + port, host, port, MOST_BODY_BYTES, this::handle);
+        mEndpoint = HttpEndpoint.create("target-" + port, host, port, MAX_BODY_BYTES, this::handle);
         mRole = role;
         mCapacity = capacity;
         mSlots = slots;
@@ -100,7 +99,7 @@
     private void handle(IncomingRequest in) {
         String route = in.method() + " " + in.path();
         switch (route) {
-            case "POST /tasks" -> order(in);
+            case "POST /tasks" -> handleOrder(in);
             case "DELETE /tasks" -> cancel(in);
             case "GET /load" -> in.reply(OK, "text/plain", Map.of(), Double.toString(load()));
             case "GET /starts" -> in.reply(OK, PlatformJson.write(mStarts));
@@ -117,7 +116,7 @@
     }
 
     private synchronized String stats() {
-        return "{\"starts\":" + mTotalStarts.get() + ",\"mostSlots\":" + mMostSlots + "}";
+        return "{\"starts\":" + mTotalStarts.get() + ",\"mostSlots\":" + mMaxUsedSlots + "}";
     }
 
     private void control(IncomingRequest in) {
@@ -129,7 +128,7 @@
         }
     }
 
-    private void order(IncomingRequest in) {
+    private void handleOrder(IncomingRequest in) {
         TaskOrder order;
         TaskPayload payload;
         try {
@@ -139,14 +138,14 @@
             in.reply(BAD_REQUEST, "{\"error\":\"not a task\"}");
             return;
         }
-        if (!mMode.starts()) {
+        if (!mMode.startsTasks()) {
             RefusalCause cause =
                     mMode == TargetMode.BUSY ? RefusalCause.BUSY : RefusalCause.LEAVING;
             refuse(in, order, cause);
         } else if (System.currentTimeMillis() > order.startByWallMs()) {
             refuse(in, order, RefusalCause.TOO_LATE);
         } else {
-            accept(new Running(in, order, payload, System.nanoTime() / 1_000_000));
+            runOrQueue(new AcceptedTask(in, order, payload, System.nanoTime() / 1_000_000));
         }
     }
 
@@ -157,7 +156,7 @@
         in.reply(REFUSED, PlatformJson.write(report));
     }
 
-    private synchronized void accept(Running task) {
+    private synchronized void runOrQueue(AcceptedTask task) {
         if (mRole == Role.MINION && mUsedSlots >= mSlots) {
             mQueue.add(task);
             return;
@@ -165,52 +164,54 @@
         run(task);
     }
 
-    private void run(Running task) {
+    private void run(AcceptedTask task) {
         TaskOrder order = task.order();
         mTotalStarts.incrementAndGet();
         mStarts.computeIfAbsent(
                         order.submission() + "/" + order.index(), key -> new AtomicInteger())
                 .incrementAndGet();
         mUsedSlots++;
-        mMostSlots = Math.max(mMostSlots, mUsedSlots);
+        mMaxUsedSlots = Math.max(mMaxUsedSlots, mUsedSlots);
         mUsedCpuMillis += cpuMillis(task);
         TargetMode mode = mMode;
         if (mode == TargetMode.DROP) {
-            end(task, mode);
+            endTask(task, mode);
             return;
         }
         if (mode == TargetMode.FREEZE) {
             return;
         }
-        long runMs = mode == TargetMode.FAIL_ALL ? 0 : slowed(task.payload().runMs());
-        mRunning.put(key(task), task);
-        mEnds.put(key(task), mTimer.schedule(() -> end(task, mode), runMs, TimeUnit.MILLISECONDS));
+        long runMs = mode == TargetMode.FAIL_ALL ? 0 : slowedRunMs(task.payload().runMs());
+        mRunning.put(attemptKey(task), task);
+        mScheduledEnds.put(
+                attemptKey(task),
+                mTimer.schedule(() -> endTask(task, mode), runMs, TimeUnit.MILLISECONDS));
     }
 
-    private static String key(Running task) {
+    private static String attemptKey(AcceptedTask task) {
         return task.order().owner() + "/" + task.order().attempt();
     }
 
-    private static int cpuMillis(Running task) {
+    private static int cpuMillis(AcceptedTask task) {
         int declared = task.order().need().cpuMillis();
         return task.payload().cpuMillis() == 0 ? declared : task.payload().cpuMillis();
     }
 
-    private long slowed(long runMs) {
+    private long slowedRunMs(long runMs) {
         if (mRole == Role.MINION || mUsedCpuMillis <= mCapacity.cpuMillis()) {
             return runMs;
         }
         return runMs * mUsedCpuMillis / mCapacity.cpuMillis();
     }
 
-    private void end(Running task, TargetMode mode) {
-        mEnds.remove(key(task));
-        mRunning.remove(key(task));
-        free(task);
+    private void endTask(AcceptedTask task, TargetMode mode) {
+        mScheduledEnds.remove(attemptKey(task));
+        mRunning.remove(attemptKey(task));
+        release(task);
         reply(task, mode);
     }
 
-    private synchronized void free(Running task) {
+    private synchronized void release(AcceptedTask task) {
         mUsedSlots--;
         mUsedCpuMillis -= cpuMillis(task);
         if (!mQueue.isEmpty()) {
@@ -218,16 +219,16 @@
         }
     }
 
-    private static void reply(Running task, TargetMode mode) {
-        IncomingRequest in = task.in();
+    private static void reply(AcceptedTask task, TargetMode mode) {
+        IncomingRequest in = task.request();
         TaskOrder order = task.order();
         long tookMs = System.nanoTime() / 1_000_000 - task.startedMs();
         Resources used = new Resources(cpuMillis(task), order.need().memoryMb(), 0);
         switch (mode) {
             case DROP -> in.drop();
-            case FAIL_ALL -> in.reply(FAILED, report(order, null, 0, used, "it failed"));
+            case FAIL_ALL -> in.reply(FAILED, reportJson(order, null, 0, used, "it failed"));
             case CUT_SHORT -> {
-                String whole = report(order, task.payload().result(), tookMs, used, null);
+                String whole = reportJson(order, task.payload().result(), tookMs, used, null);
                 in.reply(OK, whole.substring(0, whole.length() / 2));
             }
             case MIX_UP ->
@@ -235,11 +236,11 @@
                             OK,
                             PlatformJson.write(
                                     new TaskReport("other", 0, "theirs", 1, used, null, null)));
-            default -> in.reply(OK, report(order, task.payload().result(), tookMs, used, null));
+            default -> in.reply(OK, reportJson(order, task.payload().result(), tookMs, used, null));
         }
     }
 
-    private static String report(
+    private static String reportJson(
             TaskOrder order, String result, long tookMs, Resources used, String error) {
         return PlatformJson.write(
                 new TaskReport(
@@ -248,11 +249,12 @@
 
     private void cancel(IncomingRequest in) {
         String key = in.query("owner").orElse("") + "/" + in.query("attempt").orElse("");
-        ScheduledFuture<?> ending = mEnds.remove(key);
-        Running task = mRunning.remove(key);
+        ScheduledFuture<?> ending = mScheduledEnds.remove(key);
+        AcceptedTask task = mRunning.remove(key);
         if (ending != null && task != null && ending.cancel(false)) {
-            free(task);
-            task.in().reply(FAILED, report(task.order(), null, 0, Resources.NONE, "stopped"));
+            release(task);
+            task.request()
+                    .reply(FAILED, reportJson(task.order(), null, 0, Resources.NONE, "stopped"));
         }
         in.reply(OK, "{}");
     }
--- a/standin/src/main/java/org/boragegap/standin/VmListStandin.java
+++ b/standin/src/main/java/org/boragegap/standin/VmListStandin.java
@@ -15,7 +15,7 @@
 
 /** Stands in for the platform's list of VMs; a change shows after a lag. */
 public final class VmListStandin implements Standin {
-    private static final int MOST_BODY_BYTES = 4 * 1024 * 1024;
+    private static final int MAX_BODY_BYTES = 4 * 1024 * 1024;
     private static final int OK = 200;
     private static final int NOT_MODIFIED = 304;
     private static final int BAD_REQUEST = 400;
@@ -23,12 +23,13 @@
     private final List<HttpEndpoint> mEndpoints = new ArrayList<>();
     private final boolean[] mDown;
     private final long mLagMs;
-    private final ScheduledExecutorService mDelays = Executors.newSingleThreadScheduledExecutor();
-    private volatile VmList mShown;
+    private final ScheduledExecutorService mScheduler =
+            Executors.newSingleThreadScheduledExecutor();
+    private volatile VmList mVisibleList;
 
     private VmListStandin(String host, List<Integer> ports, long lagMs, VmList first) {
         mLagMs = lagMs;
-        mShown = first;
+        mVisibleList = first;
         mDown = new boolean[ports.size()];
         for (int i = 0; i < ports.size(); i++) {
             int listener = i;
@@ -37,7 +38,7 @@
                             "vms-" + i,
                             host,
                             ports.get(i),
-                            MOST_BODY_BYTES,
+                            MAX_BODY_BYTES,
                             in -> handle(listener, in)));
         }
     }
@@ -57,7 +58,7 @@
     @Override
     public void stop() {
         mEndpoints.forEach(HttpEndpoint::stop);
-        mDelays.shutdownNow();
+        mScheduler.shutdownNow();
     }
 
     private void handle(int listener, IncomingRequest in) {
@@ -71,26 +72,26 @@
             }
             in.reply(OK, "{}");
         } else if (in.method().equals("POST")) {
-            change(in);
+            replaceList(in);
         } else if (mDown[listener]) {
             in.drop();
         } else {
-            show(in);
+            serveList(in);
         }
     }
 
-    private void show(IncomingRequest in) {
-        String json = PlatformJson.write(mShown);
+    private void serveList(IncomingRequest in) {
+        String json = PlatformJson.write(mVisibleList);
         String tag = '"' + Integer.toHexString(json.hashCode()) + '"';
         boolean known = in.header("If-None-Match").filter(tag::equals).isPresent();
         Map<String, String> headers = Map.of("ETag", tag);
         in.reply(known ? NOT_MODIFIED : OK, "application/json", headers, known ? "" : json);
     }
 
-    private void change(IncomingRequest in) {
+    private void replaceList(IncomingRequest in) {
         try {
             VmList list = PlatformJson.read(in.text(), VmList.class);
-            mDelays.schedule(() -> mShown = list, mLagMs, TimeUnit.MILLISECONDS);
+            mScheduler.schedule(() -> mVisibleList = list, mLagMs, TimeUnit.MILLISECONDS);
             in.reply(OK, "{}");
         } catch (PlatformException e) {
             in.reply(BAD_REQUEST, "{\"error\":\"not a list of VMs\"}");
