--- a/app/src/main/java/org/boragegap/app/BenchCommand.java
+++ b/app/src/main/java/org/boragegap/app/BenchCommand.java
@@ -7,7 +7,7 @@
 import org.apache.logging.log4j.Level;
 import org.apache.logging.log4j.core.config.Configurator;
 
-/** Measures on embedded deployments; docs/MEASURING.md says what and how. */
+/** Runs benchmarks on embedded deployments; docs/MEASURING.md describes them. */
 final class BenchCommand implements Command {
     @Override
     public String name() {
@@ -33,16 +33,16 @@
                                 "policy", "NAME", "load: usual, baseline or both; default both"));
     }
 
-    private static Option optionWithValue(String name, String argument, String meaning) {
-        return Option.builder().longOpt(name).hasArg().argName(argument).desc(meaning).build();
+    private static Option optionWithValue(String name, String argument, String description) {
+        return Option.builder().longOpt(name).hasArg().argName(argument).desc(description).build();
     }
 
     @Override
     public ExitCode run(CommandLine line) throws Exception {
         Configurator.setRootLevel(Level.ERROR);
-        String what = line.getArgList().size() == 1 ? line.getArgList().get(0) : "";
+        String benchmark = line.getArgList().size() == 1 ? line.getArgList().get(0) : "";
         Object result =
-                switch (what) {
+                switch (benchmark) {
                     case "path" -> new PathRun().run();
                     case "sizes" -> new SizesRun().run();
                     case "load" -> LoadComparison.run(loadOptions(line));
--- a/app/src/main/java/org/boragegap/app/BundleCommand.java
+++ b/app/src/main/java/org/boragegap/app/BundleCommand.java
@@ -21,12 +21,15 @@
 import org.apache.commons.cli.Options;
 import org.boragegap.core.bundle.Bundle;
 
-/** Makes, signs, publishes bundles and shows the one in force. */
+/** Creates, signs and publishes configuration bundles, and shows the one in force. */
 final class BundleCommand implements Command {
     private static final int OK = 200;
     private static final int TIMEOUT = 504;
 
-    /** Made when first used: each command is made in each process, and this one costs most. */
+    /**
+     * Creates the mapper on first use: every process instantiates all commands, and the mapper is
+     * the most expensive part of them.
+     */
     private static final class MapperHolder {
         private static final ObjectMapper MAPPER =
                 new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT);
@@ -62,29 +65,29 @@
                                 "private-key", "FILE", "sign, keygen: private key in base64"));
     }
 
-    private static Option optionWithValue(String name, String argument, String meaning) {
-        return Option.builder().longOpt(name).hasArg().argName(argument).desc(meaning).build();
+    private static Option optionWithValue(String name, String argument, String description) {
+        return Option.builder().longOpt(name).hasArg().argName(argument).desc(description).build();
     }
 
     @Override
     public ExitCode run(CommandLine line) throws Exception {
-        List<String> words = line.getArgList();
-        String action = words.isEmpty() ? "" : words.get(0);
+        List<String> arguments = line.getArgList();
+        String action = arguments.isEmpty() ? "" : arguments.get(0);
         return switch (action) {
             case "new" -> create(line);
             case "keygen" -> generateKey(line);
-            case "sign" -> sign(line, bundleFile(words));
-            case "publish" -> publish(line, bundleFile(words));
+            case "sign" -> sign(line, bundleFile(arguments));
+            case "publish" -> publish(line, bundleFile(arguments));
             case "status" -> status(line);
             default -> throw new UsageException("expected new, keygen, sign, publish or status");
         };
     }
 
-    private static Path bundleFile(List<String> words) throws UsageException {
-        if (words.size() != 2) {
+    private static Path bundleFile(List<String> arguments) throws UsageException {
+        if (arguments.size() != 2) {
             throw new UsageException("expected one bundle FILE");
         }
-        return Path.of(words.get(1));
+        return Path.of(arguments.get(1));
     }
 
     private static String requiredOption(CommandLine line, String option) throws UsageException {
--- a/app/src/main/java/org/boragegap/app/CheckConfigCommand.java
+++ b/app/src/main/java/org/boragegap/app/CheckConfigCommand.java
@@ -6,7 +6,7 @@
 import org.boragegap.entry.Setting;
 import org.boragegap.entry.Settings;
 
-/** Checks a settings file, or explains all settings. */
+/** Checks a settings file, or prints a description of all settings. */
 final class CheckConfigCommand implements Command {
     @Override
     public String name() {
@@ -35,14 +35,17 @@
         return load(line.getArgList().get(0)) == null ? ExitCode.USAGE : ExitCode.OK;
     }
 
-    /** Reads settings, or prints what is wrong and returns null; prints what was replaced. */
+    /**
+     * Reads settings and prints the values that were replaced. If the file is invalid, prints its
+     * problems and returns null.
+     */
     static Settings load(String file) {
-        Settings.ReadResult read = Settings.read(Path.of(file));
-        if (read instanceof Settings.ReadResult.Valid good) {
-            good.settings().replacedValues().forEach(System.err::println);
-            return good.settings();
+        Settings.ReadResult result = Settings.read(Path.of(file));
+        if (result instanceof Settings.ReadResult.Valid valid) {
+            valid.settings().replacedValues().forEach(System.err::println);
+            return valid.settings();
         }
-        ((Settings.ReadResult.Invalid) read).problems().forEach(System.err::println);
+        ((Settings.ReadResult.Invalid) result).problems().forEach(System.err::println);
         return null;
     }
 }
--- a/app/src/main/java/org/boragegap/app/CliHttpClient.java
+++ b/app/src/main/java/org/boragegap/app/CliHttpClient.java
@@ -10,7 +10,7 @@
 import java.time.Duration;
 import org.apache.commons.cli.CommandLine;
 
-/** A plain HTTP client for the command line. */
+/** Sends the HTTP requests of the command line. */
 final class CliHttpClient {
     private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(2);
     private static final Duration ANSWER_TIMEOUT = Duration.ofSeconds(620);
--- a/app/src/main/java/org/boragegap/app/Command.java
+++ b/app/src/main/java/org/boragegap/app/Command.java
@@ -3,23 +3,23 @@
 import org.apache.commons.cli.CommandLine;
 import org.apache.commons.cli.Options;
 
-/** One subcommand. */
+/** A subcommand of the command line. */
 interface Command {
 
-    /** Its name on the command line. */
+    /** Name on the command line. */
     String name();
 
-    /** Arguments and purpose, for the help. */
+    /** Arguments and purpose, as the help prints them. */
     String usage();
 
-    /** Its options; {@code --help} comes by itself. */
+    /** Options; {@code Main} adds {@code --help} to them. */
     Options options();
 
-    /** Sets up where its log lines go to; called once, before it runs. */
+    /** Configures where log lines go; called once, before {@link #run}. */
     default void configureLogging() {
         LogSetup.forCommand();
     }
 
-    /** Runs it. */
+    /** Runs the command. */
     ExitCode run(CommandLine line) throws Exception;
 }
--- a/app/src/main/java/org/boragegap/app/DeploymentSpec.java
+++ b/app/src/main/java/org/boragegap/app/DeploymentSpec.java
@@ -3,14 +3,14 @@
 import org.boragegap.core.job.Resources;
 
 /**
- * Size and policies of an embedded deployment.
+ * Size and settings of an embedded deployment.
  *
- * @param entryVms entry VMs
- * @param workers workers
- * @param minions minions
- * @param minionSlots requests that a minion serves at once
- * @param workerCapacity what a worker has
- * @param extraSettings more lines of settings for each entry VM
+ * @param entryVms number of entry VMs
+ * @param workers number of workers
+ * @param minions number of minions
+ * @param minionSlots requests that a minion serves concurrently
+ * @param workerCapacity resources of each worker
+ * @param extraSettings lines added to the settings of each entry VM
  */
 record DeploymentSpec(
         int entryVms,
@@ -25,13 +25,13 @@
         return new DeploymentSpec(2, 4, 4, 8, QUICKSTART_WORKER, "");
     }
 
-    /** One entry VM and minions with slots to spare, to measure what the way through it costs. */
+    /** One entry VM and one minion with spare slots, to measure the overhead of the entry VM. */
     static DeploymentSpec path(int slots) {
         String settings = "[limits]\nconnections_per_target = 1024";
         return new DeploymentSpec(1, 1, 1, slots, QUICKSTART_WORKER, settings);
     }
 
-    /** A failure domain of today's size. */
+    /** A failure domain of the size that is usual today. */
     static DeploymentSpec load(String settings) {
         return new DeploymentSpec(3, 10, 10, 8, QUICKSTART_WORKER, settings);
     }
--- a/app/src/main/java/org/boragegap/app/EmbeddedCell.java
+++ b/app/src/main/java/org/boragegap/app/EmbeddedCell.java
@@ -24,31 +24,31 @@
 import org.boragegap.standin.StoreStandin;
 
 /**
- * Two entry VMs on the users' platform, with stand-ins for its store and targets, in one process.
+ * Two entry VMs on the users' platform, in one process with stand-ins for its store and targets.
  */
 final class EmbeddedCell {
     private static final String HOST = "127.0.0.1";
     private static final int ENTRY_VMS = 2;
     private static final int TARGETS = 6;
 
-    /** Makes ids that differ as those of real targets do; the golden ratio of 32 bits. */
+    /** Makes target ids differ as widely as real ones; 2^32 divided by the golden ratio. */
     private static final int ID_MULTIPLIER = 0x9E3779B9;
 
     private static final int TASKS_PER_JOB = 4;
 
-    /** Run time of a task, in ms, as the target stand-in takes it. */
+    /** Run time of a task in ms, as the spec that the target stand-in reads. */
     private static final String TASK_MS = "5";
 
     private static final int CONNECTIONS = 4;
     private static final int OK = 200;
 
-    /** Longest wait for one answer, in ms; a job here takes some ten ms. */
+    /** Timeout of one answer, in ms; a job here takes about ten ms. */
     private static final long ANSWER_TIMEOUT_MS = 2_000;
 
-    /** How often the first job is handed in before giving up; the cell is up after a second. */
+    /** How often the first job is submitted at most; the cell is up after about a second. */
     private static final int MAX_STARTUP_TRIES = 100;
 
-    /** Pause between two tries, in ms. */
+    /** Pause between two submissions of the first job, in ms. */
     private static final long RETRY_INTERVAL_MS = 100;
 
     private final ScheduledExecutorService mTimer = Executors.newScheduledThreadPool(2);
@@ -65,19 +65,19 @@
         mStore = StoreStandin.create(HOST, mStorePort, mTimer);
     }
 
-    /** Makes a deployment that isn't started yet; its entry VMs decide on the layout. */
+    /** Creates a deployment that isn't started yet; its entry VMs choose the layout. */
     static EmbeddedCell create() throws IOException {
         return new EmbeddedCell();
     }
 
-    /** Makes a deployment whose layout the store already holds. */
+    /** Creates a deployment whose store already contains a layout. */
     static EmbeddedCell withLayout(CellLayout layout) throws IOException {
         EmbeddedCell cell = new EmbeddedCell();
         cell.mStore.put(Topics.LAYOUT, Topics.CELLS_KEY, layout.text());
         return cell;
     }
 
-    /** Tasks that were started on the targets of a cell of this layout. */
+    /** Tasks that were started on the targets that the layout assigns to a cell. */
     Set<String> startedTasks(CellLayout layout, int cell) {
         Set<String> started = new HashSet<>();
         for (int i = 0; i < TARGETS; i++) {
@@ -122,14 +122,14 @@
     }
 
     private void startEntryVm(long incarnation) throws Exception {
-        String callers = HOST + ":" + LoopbackPorts.next();
+        String callerAddress = HOST + ":" + LoopbackPorts.next();
         String ini =
                 String.join(
                         "\n",
                         "[vm]",
                         "failure_domain = local",
                         "peer_address = " + HOST + ":" + LoopbackPorts.next(),
-                        "caller_address = " + callers,
+                        "caller_address = " + callerAddress,
                         "operator_address = " + HOST + ":" + LoopbackPorts.next(),
                         "ready_address = " + HOST + ":" + LoopbackPorts.next(),
                         "metrics_address = " + HOST + ":" + LoopbackPorts.next(),
@@ -144,11 +144,11 @@
         CellNode node = CellNode.create(settings, incarnation, CellNode.clock());
         node.start();
         mNodes.add(node);
-        mCallerAddresses.add(callers);
+        mCallerAddresses.add(callerAddress);
     }
 
     /**
-     * Hands jobs in at both entry VMs, one after the other.
+     * Submits jobs one after the other, alternately to both entry VMs.
      *
      * @return how many of them were completed
      */
--- a/app/src/main/java/org/boragegap/app/EmbeddedDeployment.java
+++ b/app/src/main/java/org/boragegap/app/EmbeddedDeployment.java
@@ -19,7 +19,7 @@
 import org.boragegap.standin.TargetStandin;
 import org.boragegap.standin.VmListStandin;
 
-/** Two entry VMs of one failure domain with stand-ins for all else, in this process. */
+/** Entry VMs of one failure domain, in one process with stand-ins for everything else. */
 final class EmbeddedDeployment {
     private static final String HOST = "127.0.0.1";
     private static final String DOMAIN = "local";
@@ -40,41 +40,40 @@
     private final DeploymentSpec mSpec;
     private String mMinionAddress = "";
 
-    private EmbeddedDeployment(DeploymentSpec shape) throws IOException, EntryException {
-        mSpec = shape;
+    private EmbeddedDeployment(DeploymentSpec spec) throws IOException, EntryException {
+        mSpec = spec;
         int logPort = LoopbackPorts.next();
         int listPort = LoopbackPorts.next();
         List<ListedVm> vms = new ArrayList<>();
-        for (int i = 0; i < shape.workers(); i++) {
+        for (int i = 0; i < spec.workers(); i++) {
             int port = LoopbackPorts.next();
             mTargets.add(
-                    TargetStandin.worker(HOST, port, shape.workerCapacity(), WORKER_SLOTS, mTimer));
-            vms.add(listedTarget(port, VmKind.WORKER, "", shape.workerCapacity(), WORKER_SLOTS));
+                    TargetStandin.worker(HOST, port, spec.workerCapacity(), WORKER_SLOTS, mTimer));
+            vms.add(listedTarget(port, VmKind.WORKER, "", spec.workerCapacity(), WORKER_SLOTS));
         }
-        for (int i = 0; i < shape.minions(); i++) {
+        for (int i = 0; i < spec.minions(); i++) {
             int port = LoopbackPorts.next();
             mMinionAddress = HOST + ":" + port;
-            mTargets.add(TargetStandin.minion(HOST, port, shape.minionSlots(), mTimer));
-            vms.add(
-                    listedTarget(
-                            port, VmKind.MINION, SERVICE, Resources.NONE, shape.minionSlots()));
+            mTargets.add(TargetStandin.minion(HOST, port, spec.minionSlots(), mTimer));
+            vms.add(listedTarget(port, VmKind.MINION, SERVICE, Resources.NONE, spec.minionSlots()));
         }
-        for (int i = 0; i < shape.entryVms(); i++) {
-            String peer = HOST + ":" + LoopbackPorts.next();
+        for (int i = 0; i < spec.entryVms(); i++) {
+            String peerAddress = HOST + ":" + LoopbackPorts.next();
             mCallerAddresses.add(HOST + ":" + LoopbackPorts.next());
             mOperatorAddresses.add(HOST + ":" + LoopbackPorts.next());
-            vms.add(new ListedVm(peer, DOMAIN, VmKind.ENTRY, "", false, Resources.NONE, 0));
+            vms.add(new ListedVm(peerAddress, DOMAIN, VmKind.ENTRY, "", false, Resources.NONE, 0));
             mEntryServices.add(
                     EntryService.create(
-                            settings(i, peer, logPort, listPort), System.currentTimeMillis()));
+                            settings(i, peerAddress, logPort, listPort),
+                            System.currentTimeMillis()));
         }
         mStandins.add(LogStandin.create(HOST, List.of(logPort), RETENTION_MS));
         mStandins.add(VmListStandin.create(HOST, List.of(listPort), 0, new VmList(vms)));
         mStandins.addAll(mTargets);
     }
 
-    static EmbeddedDeployment create(DeploymentSpec shape) throws IOException, EntryException {
-        return new EmbeddedDeployment(shape);
+    static EmbeddedDeployment create(DeploymentSpec spec) throws IOException, EntryException {
+        return new EmbeddedDeployment(spec);
     }
 
     private static ListedVm listedTarget(
@@ -82,13 +81,13 @@
         return new ListedVm(HOST + ":" + port, DOMAIN, kind, service, false, capacity, slots);
     }
 
-    private Settings settings(int entry, String peer, int logPort, int listPort) {
+    private Settings settings(int entry, String peerAddress, int logPort, int listPort) {
         String text =
                 String.join(
                         "\n",
                         "[vm]",
                         "failure_domain = " + DOMAIN,
-                        "peer_address = " + peer,
+                        "peer_address = " + peerAddress,
                         "caller_address = " + mCallerAddresses.get(entry),
                         "operator_address = " + mOperatorAddresses.get(entry),
                         "[deployment]",
@@ -109,21 +108,23 @@
         for (EntryService entry : mEntryServices) {
             entry.start();
         }
-        for (String operator : mOperatorAddresses) {
-            awaitReady(operator);
+        for (String operatorAddress : mOperatorAddresses) {
+            awaitReady(operatorAddress);
         }
     }
 
-    private static void awaitReady(String operator) throws IOException, InterruptedException {
+    private static void awaitReady(String operatorAddress)
+            throws IOException, InterruptedException {
         long untilMs = System.currentTimeMillis() + READY_TIMEOUT_MS;
         while (System.currentTimeMillis() < untilMs) {
-            HttpResponse<String> response = CliHttpClient.send(operator, "GET", "/readyz", "", "");
+            HttpResponse<String> response =
+                    CliHttpClient.send(operatorAddress, "GET", "/readyz", "", "");
             if (response.statusCode() == OK) {
                 return;
             }
             Thread.sleep(READY_CHECK_INTERVAL_MS);
         }
-        throw new IOException("entry VM at " + operator + " did not get ready");
+        throw new IOException("entry VM at " + operatorAddress + " did not get ready");
     }
 
     void stop() {
@@ -132,7 +133,7 @@
         mTimer.shutdownNow();
     }
 
-    /** Stops one entry VM at once, as a crash would. */
+    /** Stops one entry VM without draining it, to simulate a crash. */
     void stopEntry(int number) {
         mEntryServices.get(number).stop();
     }
@@ -149,7 +150,7 @@
         return mTargets;
     }
 
-    /** Address of the first minion. */
+    /** Address of the last minion. */
     String minionAddress() {
         return mMinionAddress;
     }
--- a/app/src/main/java/org/boragegap/app/ExitCode.java
+++ b/app/src/main/java/org/boragegap/app/ExitCode.java
@@ -2,13 +2,13 @@
 
 /** Exit codes of the command line. */
 public enum ExitCode {
-    /** All went well. */
+    /** Success. */
     OK(0),
-    /** The work ran and failed, or a check did not hold. */
+    /** The work ran and failed, or a check failed. */
     FAILED(1),
-    /** The command line or a settings file is wrong. */
+    /** The command line or a settings file is invalid. */
     USAGE(2),
-    /** Refused; nothing was run. */
+    /** The submission was refused and nothing was run. */
     NOT_RUN(3),
     /** The outcome is unknown: the work may have run. */
     UNKNOWN(4);
@@ -19,7 +19,7 @@
         mCode = code;
     }
 
-    /** The number that the process exits with. */
+    /** Exit status of the process. */
     public int code() {
         return mCode;
     }
--- a/app/src/main/java/org/boragegap/app/JsonLines.java
+++ b/app/src/main/java/org/boragegap/app/JsonLines.java
@@ -16,9 +16,9 @@
 import org.apache.logging.log4j.util.ReadOnlyStringMap;
 
 /**
- * Writes each log event as one line of JSON: {@code formatTime} in UTC, {@code level}, {@code
- * logger}, {@code thread}, {@code message} with the fields of a decision or a {@code text}, the
- * fields of the process, {@code context} and {@code exception} where there are any.
+ * Formats each log event as one line of JSON: {@code time} in UTC, {@code level}, {@code logger},
+ * {@code thread}, {@code message} with the fields of a decision or with a {@code text}, the fields
+ * of the process, and {@code context} and {@code exception} if the event has them.
  */
 final class JsonLines extends AbstractStringLayout {
     private static final JsonFactory sJsonFactory = new JsonFactory();
@@ -32,9 +32,9 @@
         super(StandardCharsets.UTF_8);
     }
 
-    /** Sets the fields that stand in each line from now on. */
-    void setProcessFields(Map<String, String> process) {
-        mProcessFields = process;
+    /** Sets the process fields that are written in each line from now on. */
+    void setProcessFields(Map<String, String> processFields) {
+        mProcessFields = processFields;
     }
 
     @Override
@@ -45,7 +45,7 @@
             writeEvent(event, json);
             json.writeEndObject();
         } catch (IOException e) {
-            throw new IllegalStateException("a string can't be written to", e);
+            throw new IllegalStateException("writing to a string failed", e);
         }
         return line.append('\n').toString();
     }
@@ -65,7 +65,7 @@
         }
     }
 
-    /** A time as text. Written here, since a formatter reads the locale's data at every start. */
+    /** Formats a time by hand, since a formatter loads locale data at every start. */
     private static String formatTime(long ms) {
         LocalDateTime at =
                 LocalDateTime.ofEpochSecond(
--- a/app/src/main/java/org/boragegap/app/LoadComparison.java
+++ b/app/src/main/java/org/boragegap/app/LoadComparison.java
@@ -3,20 +3,20 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** Runs the same load with the usual policies and with the baseline's, one after the other. */
+/** Runs the same load with the usual policies and with the baseline policies, in turn. */
 final class LoadComparison {
     private static final String USUAL_SETTINGS = "";
     private static final String BASELINE_SETTINGS =
             "[policy]\nplacement = ROUND_ROBIN\norder = FIFO\n[limits]\nrefuse_hopeless = false";
 
     /**
-     * What to run.
+     * Options of a comparison.
      *
-     * @param seed seed of the arrivals
-     * @param loadPercent offered work over the capacity
-     * @param seconds length of a run
-     * @param faults whether one entry VM and two targets fail midway
-     * @param policy usual, baseline or both
+     * @param seed seed of the random arrivals
+     * @param loadPercent offered load in percent of the capacity
+     * @param seconds duration of a run
+     * @param faults whether one entry VM and two targets fail after a third of the run
+     * @param policy {@code usual}, {@code baseline} or {@code both}
      */
     record Options(long seed, int loadPercent, int seconds, boolean faults, String policy) {}
 
--- a/app/src/main/java/org/boragegap/app/LoadPlan.java
+++ b/app/src/main/java/org/boragegap/app/LoadPlan.java
@@ -5,8 +5,11 @@
 import java.util.SplittableRandom;
 
 /**
- * Seeded arrivals of jobs: 1 to 360 tasks of 50 ms to a second, with a tail of several seconds, in
- * bursts, with declared sizes and run times that are far off.
+ * Pseudo-random arrivals of jobs, reproducible by their seed.
+ *
+ * <p>A job has 1 to 360 tasks, with run times from 40 ms to half a second and a tail of 1 to 4
+ * seconds. A share of the jobs arrives in bursts, and the declared sizes and run times are
+ * inaccurate.
  */
 final class LoadPlan {
     private static final String[] TEAMS = {"students", "advisors", "registrar", "counter"};
@@ -19,14 +22,14 @@
     private static final double OVERHEAD_MS = 2;
 
     /**
-     * One job.
+     * A job of the plan.
      *
-     * @param arrivalMs when it is due
-     * @param team on whose behalf
+     * @param arrivalMs when it is to be submitted, in ms from the start of the run
+     * @param team team that submits it
      * @param body request body
-     * @param totalRunMs run time of all its tasks
-     * @param idealMs response time on an idle deployment: the longest task, or all of them spread
-     *     over all cores, and the round trip
+     * @param totalRunMs sum of the run times of its tasks
+     * @param idealMs response time on an idle deployment: the longer of its longest task and all
+     *     its tasks spread over all cores, plus the round trip
      */
     record Job(long arrivalMs, String team, String body, long totalRunMs, double idealMs) {}
 
@@ -40,7 +43,7 @@
         return mJobs;
     }
 
-    /** Plans jobs whose work is a share of what the cores can do, each task taking one core. */
+    /** Plans jobs whose total run time is a share of the capacity; each task uses one core. */
     static LoadPlan create(long seed, int loadPercent, int seconds, int cores) {
         SplittableRandom random = new SplittableRandom(seed);
         double budgetMs = loadPercent / 100.0 * cores * seconds * 1_000.0;
@@ -51,33 +54,35 @@
             plannedMs += job.totalRunMs();
             jobs.add(job);
         }
-        jobs.sort((one, other) -> Long.compare(one.arrivalMs(), other.arrivalMs()));
+        jobs.sort((first, second) -> Long.compare(first.arrivalMs(), second.arrivalMs()));
         return new LoadPlan(jobs);
     }
 
-    /** Anywhere in the run, or close behind one of the moments at which bursts begin. */
-    private static long randomArrivalMs(SplittableRandom random, double lengthMs) {
-        double at = random.nextDouble() * lengthMs;
+    /** A time anywhere in the run, or within 300 ms after the start of a burst. */
+    private static long randomArrivalMs(SplittableRandom random, double durationMs) {
+        double arrivalMs = random.nextDouble() * durationMs;
         if (random.nextDouble() < BURST_SHARE) {
-            at = Math.floor(at / BURST_INTERVAL_MS) * BURST_INTERVAL_MS + random.nextDouble() * 300;
+            arrivalMs =
+                    Math.floor(arrivalMs / BURST_INTERVAL_MS) * BURST_INTERVAL_MS
+                            + random.nextDouble() * 300;
         }
-        return (long) at;
+        return (long) arrivalMs;
     }
 
-    private static Job randomJob(SplittableRandom random, long atMs, int cores) {
+    private static Job randomJob(SplittableRandom random, long arrivalMs, int cores) {
         int kind = random.nextInt(KINDS.length);
         int tasks = (int) Math.pow(MAX_TASKS, Math.pow(random.nextDouble(), 3));
         String team = TEAMS[Math.min(TEAMS.length - 1, random.nextInt(6))];
-        StringBuilder list = new StringBuilder();
-        long workMs = 0;
+        StringBuilder taskList = new StringBuilder();
+        long totalRunMs = 0;
         long longestMs = 0;
         for (int i = 0; i < tasks; i++) {
             long runMs = randomRunMs(random, kind);
-            workMs += runMs;
+            totalRunMs += runMs;
             longestMs = Math.max(longestMs, runMs);
-            list.append(i == 0 ? "" : ",").append(taskJson(random, kind, runMs));
+            taskList.append(i == 0 ? "" : ",").append(taskJson(random, kind, runMs));
         }
-        double idealMs = Math.max(longestMs, (double) workMs / cores) + OVERHEAD_MS;
+        double idealMs = Math.max(longestMs, (double) totalRunMs / cores) + OVERHEAD_MS;
         String body =
                 "{\"team\":\""
                         + team
@@ -86,9 +91,9 @@
                         + "\",\"timeoutMs\":"
                         + TIMEOUT_MS
                         + ",\"tasks\":["
-                        + list
+                        + taskList
                         + "]}";
-        return new Job(atMs, team, body, workMs, idealMs);
+        return new Job(arrivalMs, team, body, totalRunMs, idealMs);
     }
 
     private static long randomRunMs(SplittableRandom random, int kind) {
@@ -98,13 +103,16 @@
         return TYPICAL_RUN_MS[kind] / 2 + random.nextInt(TYPICAL_RUN_MS[kind]);
     }
 
-    /** Every task uses one core; what it declares is between a third and three times that. */
+    /**
+     * A task that uses one core. It declares a third to three times this CPU, and a third to three
+     * times the typical run time of its kind.
+     */
     private static String taskJson(SplittableRandom random, int kind, long runMs) {
-        double off = Math.pow(3, random.nextDouble() * 2 - 1);
+        double factor = Math.pow(3, random.nextDouble() * 2 - 1);
         return "{\"cpuMillis\":"
-                + (int) (1_000 * off)
+                + (int) (1_000 * factor)
                 + ",\"memoryMb\":64,\"expectedMs\":"
-                + (int) (TYPICAL_RUN_MS[kind] * off)
+                + (int) (TYPICAL_RUN_MS[kind] * factor)
                 + ",\"payload\":\"{\\\"runMs\\\":"
                 + runMs
                 + ",\\\"result\\\":\\\"r\\\",\\\"cpuMillis\\\":1000}\"}";
--- a/app/src/main/java/org/boragegap/app/LoadRun.java
+++ b/app/src/main/java/org/boragegap/app/LoadRun.java
@@ -18,7 +18,7 @@
 import org.boragegap.standin.TargetMode;
 import org.boragegap.standin.TargetStandin;
 
-/** One open-loop run: jobs arrive at their planned times, whether earlier ones are done or not. */
+/** One open-loop run: jobs arrive at their planned times, whether or not earlier ones are done. */
 final class LoadRun {
     private static final int CONNECTIONS = 2_048;
     private static final long TIMEOUT_MS = 30_000;
@@ -37,21 +37,21 @@
                     "BUNDLES_PASSED");
 
     /**
-     * What a run gave.
+     * Results of a run.
      *
-     * @param jobs jobs offered
-     * @param complete jobs with a whole answer
-     * @param refused jobs refused as not run
-     * @param failed other jobs
+     * @param jobs jobs submitted
+     * @param complete jobs that were completed
+     * @param refused jobs that were refused and not run
+     * @param failed all other jobs
      * @param startedTwice tasks that were started more than once
-     * @param ratioP50 response time over the ideal, median, of complete jobs
-     * @param ratioP99 99th percentile
-     * @param ratioP999 99.9th percentile
-     * @param goodputTaskSeconds seconds of task time in complete jobs, per second and core, from
-     *     the first arrival to the last answer
-     * @param wastedPerUseful wasted messages per useful one
+     * @param ratioP50 median ratio of the response time to the ideal one, of completed jobs
+     * @param ratioP99 99th percentile of this ratio
+     * @param ratioP999 99.9th percentile of this ratio
+     * @param goodputTaskSeconds run time of the tasks of completed jobs in seconds, per core and
+     *     second from the first arrival to the last answer
+     * @param wastedPerUseful wasted messages per useful message
      * @param wasted wasted messages by kind
-     * @param p99ByTeam 99th percentile of the ratio by team
+     * @param p99ByTeam 99th percentile of this ratio, by team
      */
     record Result(
             int jobs,
@@ -78,37 +78,37 @@
     private long mCompleteRunMs;
     private double mDurationSeconds;
 
-    LoadRun(LoadComparison.Options options, String settings) {
+    LoadRun(LoadComparison.Options options, String extraSettings) {
         mOptions = options;
-        mExtraSettings = settings;
+        mExtraSettings = extraSettings;
     }
 
     Result run() throws Exception {
-        DeploymentSpec shape = DeploymentSpec.load(mExtraSettings);
-        EmbeddedDeployment deployment = EmbeddedDeployment.create(shape);
+        DeploymentSpec spec = DeploymentSpec.load(mExtraSettings);
+        EmbeddedDeployment deployment = EmbeddedDeployment.create(spec);
         deployment.start();
         HttpClient http = HttpClient.create(CONNECTIONS);
         http.start();
-        LoadPlan warmUp = LoadPlan.create(mOptions.seed() + 1, 50, 5, cores(shape));
+        LoadPlan warmUp = LoadPlan.create(mOptions.seed() + 1, 50, 5, cores(spec));
         submitAll(deployment, http, warmUp, false);
         Map<String, Long> before = counters(deployment);
         LoadPlan plan =
                 LoadPlan.create(
-                        mOptions.seed(), mOptions.loadPercent(), mOptions.seconds(), cores(shape));
+                        mOptions.seed(), mOptions.loadPercent(), mOptions.seconds(), cores(spec));
         Thread faults = injectFaults(deployment);
         long startedNs = System.nanoTime();
         submitAll(deployment, http, plan, true);
         mDurationSeconds = (System.nanoTime() - startedNs) / 1e9;
         faults.join();
         Map<String, Long> after = counters(deployment);
-        Result result = result(deployment, plan, before, after, cores(shape));
+        Result result = result(deployment, plan, before, after, cores(spec));
         http.stop();
         deployment.stop();
         return result;
     }
 
-    private static int cores(DeploymentSpec shape) {
-        return shape.workers() * shape.workerCapacity().cpuMillis() / 1_000;
+    private static int cores(DeploymentSpec spec) {
+        return spec.workers() * spec.workerCapacity().cpuMillis() / 1_000;
     }
 
     private Thread injectFaults(EmbeddedDeployment deployment) {
@@ -127,10 +127,10 @@
     }
 
     private void submitAll(
-            EmbeddedDeployment deployment, HttpClient http, LoadPlan plan, boolean count)
+            EmbeddedDeployment deployment, HttpClient http, LoadPlan plan, boolean counted)
             throws InterruptedException {
-        List<String> callers = deployment.callerAddresses();
-        CountDownLatch left = new CountDownLatch(plan.jobs().size());
+        List<String> addresses = deployment.callerAddresses();
+        CountDownLatch remaining = new CountDownLatch(plan.jobs().size());
         long startedNs = System.nanoTime();
         int number = 0;
         for (LoadPlan.Job job : plan.jobs()) {
@@ -138,10 +138,10 @@
             while (System.nanoTime() < dueNs) {
                 LockSupport.parkNanos(dueNs - System.nanoTime());
             }
-            // Time counts from when the job was due, also if sending it was late.
-            submit(new SubmittedJob(http, callers, job, dueNs, count, left), number++);
+            // The response time is measured from when the job was due, even if it is sent late.
+            submit(new SubmittedJob(http, addresses, job, dueNs, counted, remaining), number++);
         }
-        left.await();
+        remaining.await();
     }
 
     private record SubmittedJob(
@@ -152,28 +152,29 @@
             boolean counted,
             CountDownLatch remaining) {}
 
-    /** Sends to one entry VM, and to the next if that one can't be reached, as a balancer would. */
-    private void submit(SubmittedJob sending, int number) {
-        List<String> callers = sending.addresses();
-        sending.http()
+    /** Sends to one entry VM, or to the next if it is unreachable, as a load balancer would. */
+    private void submit(SubmittedJob submitted, int number) {
+        List<String> addresses = submitted.addresses();
+        submitted
+                .http()
                 .send(
                         HttpCall.post(
-                                callers.get(Math.floorMod(number, callers.size())),
+                                addresses.get(Math.floorMod(number, addresses.size())),
                                 "/v1/jobs",
-                                sending.job().body(),
+                                submitted.job().body(),
                                 TIMEOUT_MS,
-                                result -> onResult(sending, number, result)));
+                                result -> onResult(submitted, number, result)));
     }
 
-    private void onResult(SubmittedJob sending, int number, HttpResult result) {
+    private void onResult(SubmittedJob submitted, int number, HttpResult result) {
         if (result instanceof HttpResult.NotSent) {
-            submit(sending, number + 1);
+            submit(submitted, number + 1);
             return;
         }
-        if (sending.counted()) {
-            recordResult(sending.job(), result, sending.dueNs());
+        if (submitted.counted()) {
+            recordResult(submitted.job(), result, submitted.dueNs());
         }
-        sending.remaining().countDown();
+        submitted.remaining().countDown();
     }
 
     private synchronized void recordResult(LoadPlan.Job job, HttpResult result, long dueNs) {
@@ -206,7 +207,7 @@
         return sums;
     }
 
-    /** Counters of one entry VM; none of one that was stopped on purpose. */
+    /** Counters of one entry VM; none if it can't be reached since it was stopped as a fault. */
     private JsonNode counters(String operator) throws Exception {
         try {
             String dump = CliHttpClient.send(operator, "GET", "/dump", "", "").body();
--- a/app/src/main/java/org/boragegap/app/LogSetup.java
+++ b/app/src/main/java/org/boragegap/app/LogSetup.java
@@ -11,15 +11,15 @@
 import org.apache.logging.log4j.core.config.LoggerConfig;
 
 /**
- * Where log lines go: to the console, behind a bounded buffer that never blocks and drops lines
- * when it is full. Set up here and not by a file: reading one, with the plugins that it may name,
- * makes a start slower.
+ * Log configuration: lines go to the console through a bounded buffer, which drops lines when it is
+ * full instead of blocking the logging thread. It is built in code, since reading a file and
+ * loading the plugins that it may name would slow down the start.
  */
 final class LogSetup extends AbstractConfiguration {
-    /** Lines that may wait to be written. */
+    /** Capacity of the buffer, in lines. */
     private static final int MAX_BUFFERED_LINES = 4_096;
 
-    /** How long lines that wait are written when the process ends, in ms. */
+    /** How long buffered lines are written at the end of the process, in ms. */
     private static final long SHUTDOWN_TIMEOUT_MS = 500;
 
     private static final String CONSOLE = "console";
@@ -34,51 +34,51 @@
         mTarget = target;
     }
 
-    /** Log lines of a command go to standard error; its results go to standard output. */
+    /** Sends log lines to standard error, since a command prints results to standard output. */
     static void forCommand() {
         Configurator.initialize(new LogSetup(ConsoleAppender.Target.SYSTEM_ERR));
     }
 
-    /** Log lines of an entry process go to standard output. */
+    /** Sends the log lines of an entry process to standard output. */
     static LogSetup forEntryProcess() {
         LogSetup setup = new LogSetup(ConsoleAppender.Target.SYSTEM_OUT);
         Configurator.initialize(setup);
         return setup;
     }
 
-    /** Sets the fields that stand in each line from now on. */
+    /** Sets the process fields that are written in each line from now on. */
     void setProcessFields(Map<String, String> process) {
         mLayout.setProcessFields(process);
     }
 
-    /** Names no plugin, so none is looked for. */
+    /** Builds the appenders directly, so that no plugins are looked up. */
     @Override
     public void initialize() {
-        ConsoleAppender console =
+        ConsoleAppender consoleAppender =
                 ConsoleAppender.newBuilder()
                         .setName(CONSOLE)
                         .setTarget(mTarget)
                         .setLayout(mLayout)
-                        // Lines that wait together are written by one call.
+                        // Buffered lines are written together in one call.
                         .setImmediateFlush(false)
                         .build();
-        console.start();
-        addAppender(console);
-        AppenderRef toConsole = AppenderRef.createAppenderRef(CONSOLE, null, null);
-        AsyncAppender bounded =
+        consoleAppender.start();
+        addAppender(consoleAppender);
+        AppenderRef consoleRef = AppenderRef.createAppenderRef(CONSOLE, null, null);
+        AsyncAppender asyncAppender =
                 AsyncAppender.newBuilder()
                         .setName(BOUNDED)
                         .setConfiguration(this)
-                        .setAppenderRefs(new AppenderRef[] {toConsole})
+                        .setAppenderRefs(new AppenderRef[] {consoleRef})
                         .setBufferSize(MAX_BUFFERED_LINES)
                         .setBlocking(false)
                         .setShutdownTimeout(SHUTDOWN_TIMEOUT_MS)
                         .build();
-        bounded.start();
-        addAppender(bounded);
+        asyncAppender.start();
+        addAppender(asyncAppender);
         LoggerConfig root = getRootLogger();
         root.setLevel(Level.INFO);
-        root.addAppender(bounded, null, null);
+        root.addAppender(asyncAppender, null, null);
         addLogger(HTTP_LIBRARY, new LoggerConfig(HTTP_LIBRARY, Level.WARN, true));
         setState(State.INITIALIZED);
     }
--- a/app/src/main/java/org/boragegap/app/Main.java
+++ b/app/src/main/java/org/boragegap/app/Main.java
@@ -10,7 +10,7 @@
 import org.apache.commons.cli.Options;
 import org.apache.commons.cli.ParseException;
 
-/** Entry point of the one binary. */
+/** Entry point of the executable. */
 public final class Main {
     private static final List<Command> COMMANDS =
             List.of(
@@ -27,9 +27,9 @@
 
     private Main() {}
 
-    /** Runs a subcommand and exits with its code. */
+    /** Runs a subcommand and exits with its exit code. */
     public static void main(String[] arguments) {
-        // Grizzly logs through java.util.logging; its lines join the others.
+        // Grizzly logs through java.util.logging; this routes its lines to Log4j.
         System.setProperty("java.util.logging.manager", "org.apache.logging.log4j.jul.LogManager");
         ExitCode code = run(arguments);
         System.out.flush();
--- a/app/src/main/java/org/boragegap/app/OperateCommand.java
+++ b/app/src/main/java/org/boragegap/app/OperateCommand.java
@@ -5,7 +5,7 @@
 import org.apache.commons.cli.Option;
 import org.apache.commons.cli.Options;
 
-/** Sends one request to an entry VM's operator port and prints the reply. */
+/** Sends one request to an entry VM's operator port and prints the response. */
 final class OperateCommand implements Command {
     private static final int FIRST_ERROR_STATUS = 300;
 
--- a/app/src/main/java/org/boragegap/app/PathRun.java
+++ b/app/src/main/java/org/boragegap/app/PathRun.java
@@ -13,7 +13,7 @@
 import org.boragegap.platform.PlatformJson;
 import org.boragegap.platform.TaskOrder;
 
-/** Round trips through an entry VM against the same calls made straight to the minion. */
+/** Compares round trips through an entry VM with the same requests sent directly to a minion. */
 final class PathRun {
     private static final int[] IN_FLIGHT = {1, 64, 512};
     private static final int[] TASK_MS = {0, 50};
@@ -26,18 +26,18 @@
     private static final double US_PER_MS = 1_000.0;
 
     /**
-     * One line of the result.
+     * Results for one run time and one number of concurrent requests.
      *
      * @param taskMs run time of the task
-     * @param inFlight requests at once
-     * @param directP50Ms straight to the minion, median
-     * @param directP99Ms straight to the minion, 99th percentile
-     * @param entryP50Ms through the entry VM, median
-     * @param entryP99Ms through the entry VM, 99th percentile
-     * @param ratioP50 entry over direct
-     * @param ratioP99 entry over direct
-     * @param entryPerSecond requests a second through the entry VM
-     * @param failed requests that were not answered whole
+     * @param inFlight concurrent requests
+     * @param directP50Ms median round trip directly to the minion
+     * @param directP99Ms 99th percentile directly to the minion
+     * @param entryP50Ms median round trip through the entry VM
+     * @param entryP99Ms 99th percentile through the entry VM
+     * @param ratioP50 ratio of the medians, entry to direct
+     * @param ratioP99 ratio of the 99th percentiles, entry to direct
+     * @param entryPerSecond requests per second through the entry VM
+     * @param failed requests that were not completed
      */
     record Line(
             int taskMs,
@@ -80,11 +80,11 @@
         runClosedLoop(http, entry, path, requestBody(taskMs), inFlight, WARM_UP_MS);
         Measured direct =
                 runClosedLoop(http, minion, "/tasks", orderBody(taskMs), inFlight, RUN_MS);
-        Measured through = runClosedLoop(http, entry, path, requestBody(taskMs), inFlight, RUN_MS);
+        Measured viaEntry = runClosedLoop(http, entry, path, requestBody(taskMs), inFlight, RUN_MS);
         double directP50 = percentile(direct, 50);
         double directP99 = percentile(direct, 99);
-        double entryP50 = percentile(through, 50);
-        double entryP99 = percentile(through, 99);
+        double entryP50 = percentile(viaEntry, 50);
+        double entryP99 = percentile(viaEntry, 99);
         return new Line(
                 taskMs,
                 inFlight,
@@ -94,8 +94,8 @@
                 entryP99,
                 entryP50 / directP50,
                 entryP99 / directP99,
-                through.histogram().getTotalCount() * TimeUnit.SECONDS.toMillis(1) / RUN_MS,
-                direct.failed() + through.failed());
+                viaEntry.histogram().getTotalCount() * TimeUnit.SECONDS.toMillis(1) / RUN_MS,
+                direct.failed() + viaEntry.failed());
     }
 
     private static double percentile(Measured measured, double percentile) {
@@ -129,20 +129,25 @@
                 + "\"}";
     }
 
-    /** Keeps a number of requests in flight for a while. */
+    /** Keeps {@code inFlight} requests in flight for {@code durationMs}. */
     private static Measured runClosedLoop(
-            HttpClient http, String address, String path, String body, int inFlight, long ms)
+            HttpClient http,
+            String address,
+            String path,
+            String body,
+            int inFlight,
+            long durationMs)
             throws InterruptedException {
         Histogram histogram = new Histogram(3);
         AtomicLong failed = new AtomicLong();
-        CountDownLatch left = new CountDownLatch(inFlight);
-        long untilNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(ms);
-        Runnable[] next = new Runnable[1];
-        next[0] =
+        CountDownLatch remaining = new CountDownLatch(inFlight);
+        long untilNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(durationMs);
+        Runnable[] sendNext = new Runnable[1];
+        sendNext[0] =
                 () -> {
                     long startedNs = System.nanoTime();
                     if (startedNs > untilNs) {
-                        left.countDown();
+                        remaining.countDown();
                         return;
                     }
                     http.send(
@@ -153,20 +158,21 @@
                                     TIMEOUT_MS,
                                     result -> {
                                         recordResult(histogram, failed, result, startedNs);
-                                        next[0].run();
+                                        sendNext[0].run();
                                     }));
                 };
         for (int i = 0; i < inFlight; i++) {
-            next[0].run();
+            sendNext[0].run();
         }
-        left.await();
+        remaining.await();
         return new Measured(histogram, failed.get());
     }
 
     private static void recordResult(
             Histogram histogram, AtomicLong failed, HttpResult result, long startedNs) {
-        boolean good = result instanceof HttpResult.Response response && response.status() == OK;
-        if (!good) {
+        boolean complete =
+                result instanceof HttpResult.Response response && response.status() == OK;
+        if (!complete) {
             failed.incrementAndGet();
         }
         synchronized (histogram) {
--- a/app/src/main/java/org/boragegap/app/Progress.java
+++ b/app/src/main/java/org/boragegap/app/Progress.java
@@ -4,8 +4,8 @@
 import java.util.function.LongSupplier;
 
 /**
- * Shows how far a run is: on a terminal one line that is written over, elsewhere a line each, at
- * most every second, so that a log stays readable.
+ * Prints the progress of a run. On a terminal it overwrites one line; elsewhere it prints separate
+ * lines, at most one per second, so that a log stays readable.
  */
 final class Progress {
     private static final long MIN_INTERVAL_MS = 1_000;
@@ -16,8 +16,8 @@
     private final LongSupplier mNowMs;
     private long mLastPrintedMs;
 
-    private Progress(int all, boolean terminal, PrintStream out, LongSupplier nowMs) {
-        mTotal = all;
+    private Progress(int total, boolean terminal, PrintStream out, LongSupplier nowMs) {
+        mTotal = total;
         mTerminal = terminal;
         mOut = out;
         mNowMs = nowMs;
@@ -25,18 +25,18 @@
     }
 
     /**
-     * Makes a display.
+     * Creates a progress display.
      *
-     * @param all how many answers are awaited
-     * @param terminal true when a person watches
-     * @param out where to
+     * @param total number of expected answers
+     * @param terminal true if {@code out} is a terminal
+     * @param out where to print
      * @param nowMs monotonic clock, in ms
      */
-    static Progress create(int all, boolean terminal, PrintStream out, LongSupplier nowMs) {
-        return new Progress(all, terminal, out, nowMs);
+    static Progress create(int total, boolean terminal, PrintStream out, LongSupplier nowMs) {
+        return new Progress(total, terminal, out, nowMs);
     }
 
-    /** Tells that so many answers have come; each number is told once, in any order. */
+    /** Reports how many answers have arrived; each count is reported once, in any order. */
     synchronized void update(int done) {
         if (mTerminal) {
             mOut.printf("\r%d of %d answered", done, mTotal);
--- a/app/src/main/java/org/boragegap/app/QuickstartCommand.java
+++ b/app/src/main/java/org/boragegap/app/QuickstartCommand.java
@@ -7,9 +7,9 @@
 import org.apache.logging.log4j.Level;
 import org.apache.logging.log4j.core.config.Configurator;
 
-/** Runs sample jobs on a small deployment in this one process. */
+/** Runs sample jobs on a small deployment within this process. */
 final class QuickstartCommand implements Command {
-    /** Jobs of the platform's path; enough to use each kind of message. */
+    /** Sample jobs on the users' platform; enough to send every kind of message. */
     private static final int PLATFORM_JOBS = 40;
 
     @Override
@@ -56,7 +56,7 @@
         return summary.passed() ? ExitCode.OK : ExitCode.FAILED;
     }
 
-    /** Serves some jobs on stand-ins of the platform's store and targets. */
+    /** Runs sample jobs on stand-ins of the platform's store and targets. */
     private static ExitCode runOnPlatform() throws Exception {
         EmbeddedCell cell = EmbeddedCell.create();
         cell.start();
--- a/app/src/main/java/org/boragegap/app/SampleRun.java
+++ b/app/src/main/java/org/boragegap/app/SampleRun.java
@@ -16,7 +16,7 @@
 import org.boragegap.http.HttpResult;
 import org.boragegap.standin.TargetStandin;
 
-/** Submits the sample jobs and checks every answer. */
+/** Submits sample jobs and requests and checks every answer. */
 final class SampleRun {
     private static final int JOBS = 24;
     private static final int TASKS_PER_JOB = 12;
@@ -28,16 +28,16 @@
     private static final double RATIO_SCALE = 1_000.0;
 
     /**
-     * What the run gave.
+     * Results of the run.
      *
      * @param jobs jobs submitted
      * @param requests requests submitted
-     * @param wrong answers that were not whole and right
-     * @param tasksStarted distinct tasks started, as the stand-ins counted
+     * @param wrong answers that are incomplete, incorrect or missing
+     * @param tasksStarted distinct tasks started, as counted by the stand-ins
      * @param startedTwice tasks that were started more than once
-     * @param ratioP50 response time over the ideal, median
-     * @param ratioP99 response time over the ideal, 99th percentile
-     * @param wastedMessages attempts that were refused or lost
+     * @param ratioP50 median ratio of the response time to the ideal one
+     * @param ratioP99 99th percentile of this ratio
+     * @param wastedMessages starts that were refused or lost, and retries
      */
     record Summary(
             int jobs,
@@ -92,22 +92,22 @@
     Summary run() throws IOException, InterruptedException {
         HttpClient http = HttpClient.create(CONNECTIONS);
         http.start();
-        CountDownLatch left = new CountDownLatch(JOBS + REQUESTS);
-        List<String> callers = mDeployment.callerAddresses();
+        CountDownLatch remaining = new CountDownLatch(JOBS + REQUESTS);
+        List<String> addresses = mDeployment.callerAddresses();
         for (int i = 0; i < JOBS; i++) {
-            String address = callers.get(i % callers.size());
-            send(http, address, "/v1/jobs", jobBody(i), expectedResults(i), left);
+            String address = addresses.get(i % addresses.size());
+            send(http, address, "/v1/jobs", jobBody(i), expectedResults(i), remaining);
             TimeUnit.MILLISECONDS.sleep(TASK_MS / 2);
         }
         for (int i = 0; i < REQUESTS; i++) {
-            String address = callers.get(i % callers.size());
+            String address = addresses.get(i % addresses.size());
             String path = "/v1/services/catalogue/requests";
-            send(http, address, path, requestBody(i), List.of("seats:" + i), left);
+            send(http, address, path, requestBody(i), List.of("seats:" + i), remaining);
         }
-        boolean allAnswered = left.await(TIMEOUT_MS * 2, TimeUnit.MILLISECONDS);
+        boolean allAnswered = remaining.await(TIMEOUT_MS * 2, TimeUnit.MILLISECONDS);
         http.stop();
         if (!allAnswered) {
-            mWrongAnswers.addAndGet((int) left.getCount());
+            mWrongAnswers.addAndGet((int) remaining.getCount());
         }
         return summary();
     }
@@ -155,7 +155,7 @@
             String path,
             String body,
             List<String> expected,
-            CountDownLatch left) {
+            CountDownLatch remaining) {
         long startedNs = System.nanoTime();
         http.send(
                 HttpCall.post(
@@ -165,7 +165,7 @@
                         TIMEOUT_MS,
                         result -> {
                             checkAnswer(result, expected, startedNs);
-                            left.countDown();
+                            remaining.countDown();
                         }));
     }
 
@@ -177,8 +177,8 @@
         if (!expected.equals(results(result))) {
             mWrongAnswers.incrementAndGet();
         }
-        int done = mAnswered.incrementAndGet();
-        mProgress.ifPresent(progress -> progress.update(done));
+        int answered = mAnswered.incrementAndGet();
+        mProgress.ifPresent(progress -> progress.update(answered));
     }
 
     private List<String> results(HttpResult result) {
@@ -199,12 +199,12 @@
     }
 
     private Summary summary() throws IOException, InterruptedException {
-        long started = 0;
-        long twice = 0;
+        long tasksStarted = 0;
+        long startedTwice = 0;
         for (TargetStandin target : mDeployment.targets()) {
             for (AtomicInteger count : target.starts().values()) {
-                started++;
-                twice += count.get() > 1 ? 1 : 0;
+                tasksStarted++;
+                startedTwice += count.get() > 1 ? 1 : 0;
             }
         }
         long wasted = 0;
@@ -220,8 +220,8 @@
                 JOBS,
                 REQUESTS,
                 mWrongAnswers.get(),
-                started,
-                twice,
+                tasksStarted,
+                startedTwice,
                 mRatios.getValueAtPercentile(50) / RATIO_SCALE,
                 mRatios.getValueAtPercentile(99) / RATIO_SCALE,
                 wasted);
--- a/app/src/main/java/org/boragegap/app/ServeCommand.java
+++ b/app/src/main/java/org/boragegap/app/ServeCommand.java
@@ -16,21 +16,21 @@
 import org.boragegap.entry.Settings;
 import org.boragegap.entry.cell.CellNode;
 
-/** Runs an entry VM's process until it has drained. */
+/** Runs the process of an entry VM until it has drained. */
 final class ServeCommand implements Command {
     private static final long NANOS_PER_MS = 1_000_000;
 
     /**
-     * Read as early as can be: what an earlier process here has said for a controller counts for a
-     * lease from then on, and no cell starts tasks before. The clock that the process reads later
-     * would load the HTTP library first.
+     * Read as early as possible: an earlier process at this address may have endorsed a controller,
+     * so for one lease from this time no cell starts tasks. Reading it through {@link
+     * CellNode#clock} would load the HTTP library first.
      */
     private final ClockReading mStartTime =
             new ClockReading(System.nanoTime() / NANOS_PER_MS, System.currentTimeMillis());
 
     private LogSetup mLog;
 
-    /** Made when first used: by then the log has to be set up. */
+    /** Creates the logger on first use, which is after the log was configured. */
     private static final class LoggerHolder {
         private static final Logger LOGGER = LogManager.getLogger(ServeCommand.class);
     }
@@ -97,17 +97,18 @@
         return ExitCode.OK;
     }
 
-    /** Takes the log level from the changed file; all else is read at the next start. */
+    /** Applies the log level of the changed file; other settings are read at the next start. */
     private static void reloadLogLevel(String file) {
-        Settings.ReadResult read = Settings.read(Path.of(file));
-        if (read instanceof Settings.ReadResult.Invalid bad) {
-            LoggerHolder.LOGGER.error("reload: settings stay as they were: {}", bad.problems());
+        Settings.ReadResult result = Settings.read(Path.of(file));
+        if (result instanceof Settings.ReadResult.Invalid invalid) {
+            LoggerHolder.LOGGER.error(
+                    "reload: invalid settings file, settings unchanged: {}", invalid.problems());
             return;
         }
-        String level = ((Settings.ReadResult.Valid) read).settings().text(Setting.LOG_LEVEL);
+        String level = ((Settings.ReadResult.Valid) result).settings().text(Setting.LOG_LEVEL);
         Configurator.setRootLevel(Level.toLevel(level));
         LoggerHolder.LOGGER.info(
-                "reload: log level {}; other changes count from the next start", level);
+                "reload: log level {}; other changes take effect at the next start", level);
     }
 
     private static void drainAndHalt(CellNode node) {
@@ -122,7 +123,7 @@
         Runtime.getRuntime().halt(ExitCode.OK.code());
     }
 
-    /** On SIGTERM: everything in flight is finished before the process ends. */
+    /** Runs on SIGTERM and finishes everything in flight before the process ends. */
     private static void drainAndHalt(EntryService service) {
         try {
             service.drain();
--- a/app/src/main/java/org/boragegap/app/SizesRun.java
+++ b/app/src/main/java/org/boragegap/app/SizesRun.java
@@ -31,7 +31,7 @@
 import org.boragegap.wire.PeerMessage;
 import org.boragegap.wire.WireException;
 
-/** Sizes of messages and of state in memory, from which docs/CAPACITY.md is worked out. */
+/** Measures sizes of messages and of state in memory, the inputs of docs/CAPACITY.md. */
 final class SizesRun {
     private static final Member SELF = new Member("10.20.30.40:7001", 1_800_000_000_000L);
     private static final Member OTHER = new Member("10.20.30.41:7001", 1_800_000_000_001L);
@@ -116,7 +116,7 @@
         return new Bundle(100, "0".repeat(36), "1".repeat(36), body, List.of(signature, signature));
     }
 
-    /** Time to hand all claims to a newcomer: encoding and decoding, without the network. */
+    /** Time to transfer all claims to a new member: encoding and decoding, without the network. */
     private void measureTransfer(Map<String, Double> sizes) throws WireException {
         List<Claim> part = new ArrayList<>();
         for (int i = 0; i < CLAIMS_PER_PART; i++) {
@@ -162,17 +162,18 @@
     private static double heapBytesPerClaim() {
         double before = usedHeapBytes();
         Dispatcher dispatcher = dispatcher();
-        DomainView alone = new DomainView(1, 1, 0, List.of(SELF), List.of(), DomainView.COVERS_ALL);
+        DomainView firstView =
+                new DomainView(1, 1, 0, List.of(SELF), List.of(), DomainView.COVERS_ALL);
         deliver(
                 dispatcher,
                 new Event.ClaimMessageReceived(
-                        OTHER, new ClaimMessage.ViewIs(alone, true, 0, 1, 1)));
-        DomainView both =
+                        OTHER, new ClaimMessage.ViewIs(firstView, true, 0, 1, 1)));
+        DomainView secondView =
                 new DomainView(2, 2, 1, List.of(SELF, OTHER), List.of(), DomainView.COVERS_ALL);
         deliver(
                 dispatcher,
                 new Event.ClaimMessageReceived(
-                        OTHER, new ClaimMessage.ViewIs(both, true, 0, 1, 1)));
+                        OTHER, new ClaimMessage.ViewIs(secondView, true, 0, 1, 1)));
         for (int i = 0; i < CLAIMS; i++) {
             deliver(
                     dispatcher,
@@ -200,8 +201,8 @@
             deliver(dispatcher, new Event.Submitted(caller, job(i), true, 0));
         }
         double perJob = (usedHeapBytes() - before) / JOBS;
-        int unanswered = dispatcher.state(new ClockReading(1, 1)).unanswered();
-        return unanswered == 0 ? 0 : perJob;
+        int unansweredJobs = dispatcher.state(new ClockReading(1, 1)).unanswered();
+        return unansweredJobs == 0 ? 0 : perJob;
     }
 
     private static Submission job(int number) {
--- a/app/src/main/java/org/boragegap/app/StandinCommand.java
+++ b/app/src/main/java/org/boragegap/app/StandinCommand.java
@@ -19,7 +19,7 @@
 import org.boragegap.standin.TargetStandin;
 import org.boragegap.standin.VmListStandin;
 
-/** Runs stand-ins of what lies outside, for tests and a first look. */
+/** Runs stand-ins for external services, for tests and trials. */
 final class StandinCommand implements Command {
     private static final String HOST = "127.0.0.1";
 
@@ -53,8 +53,8 @@
                 .addOption(optionWithValue("slots", "tasks at once"));
     }
 
-    private static Option optionWithValue(String name, String meaning) {
-        return Option.builder().longOpt(name).hasArg().argName("VALUE").desc(meaning).build();
+    private static Option optionWithValue(String name, String description) {
+        return Option.builder().longOpt(name).hasArg().argName("VALUE").desc(description).build();
     }
 
     @Override
@@ -122,10 +122,10 @@
         return targets;
     }
 
-    private static long numberOption(CommandLine line, String option, long fallback)
+    private static long numberOption(CommandLine line, String option, long defaultValue)
             throws UsageException {
         try {
-            return Long.parseLong(line.getOptionValue(option, Long.toString(fallback)));
+            return Long.parseLong(line.getOptionValue(option, Long.toString(defaultValue)));
         } catch (NumberFormatException e) {
             throw new UsageException("--" + option + ": expected a whole number");
         }
--- a/app/src/main/java/org/boragegap/app/UsageException.java
+++ b/app/src/main/java/org/boragegap/app/UsageException.java
@@ -1,6 +1,6 @@
 package org.boragegap.app;
 
-/** The command line is wrong; the message is one line. */
+/** Thrown if the command line is invalid; the message is a single line. */
 final class UsageException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/app/src/main/java/org/boragegap/app/package-info.java
+++ b/app/src/main/java/org/boragegap/app/package-info.java
@@ -1,2 +1,2 @@
-/** The command line of the one binary. */
+/** The command line of the executable. */
 package org.boragegap.app;
--- a/standin/src/main/java/org/boragegap/standin/CellTargetStandin.java
+++ b/standin/src/main/java/org/boragegap/standin/CellTargetStandin.java
@@ -16,10 +16,10 @@
 import org.boragegap.platform.PlatformJson;
 
 /**
- * Stands in for a target of the users' platform: leases, fencing, run numbers, ends.
+ * Stand-in for a target of the users' platform, with leases, fencing, run numbers and ended runs.
  *
- * <p>It starts what it is told to, whether it fits or not. A spec that is a number is the run time
- * in ms.
+ * <p>It starts every run that it is ordered to, without checking its capacity. A spec that is a
+ * number is the run time in ms.
  */
 public final class CellTargetStandin implements Standin {
     private static final int MAX_BODY_BYTES = 1024 * 1024;
@@ -33,11 +33,11 @@
 
     /** How orders are answered. */
     public enum AnswerMode {
-        /** At once. */
+        /** Carried out and answered at once. */
         PROMPT,
-        /** Carried out, and not answered. */
+        /** Carried out at once but not answered. */
         LOST,
-        /** Not answered, and carried out after two seconds. */
+        /** Carried out after two seconds and not answered. */
         LATE
     }
 
@@ -79,7 +79,7 @@
         mTimer = timer;
     }
 
-    /** Makes a target that registers itself in the store. */
+    /** Creates a target that registers itself in the store. */
     public static CellTargetStandin create(
             String id,
             String host,
@@ -103,7 +103,7 @@
         mEndpoint.stop();
     }
 
-    /** Reports in the store that it leaves soon. */
+    /** Records in the store that this target is draining. */
     public void drain() {
         register("draining");
     }
@@ -123,17 +123,17 @@
         mStore.put("keyed.servers", mId, entry.toString());
     }
 
-    /** Changes how orders are answered from now on. */
-    public synchronized void answerMode(AnswerMode answers) {
-        mAnswerMode = answers;
+    /** Sets how orders are answered from now on. */
+    public synchronized void answerMode(AnswerMode answerMode) {
+        mAnswerMode = answerMode;
     }
 
-    /** How often each task was started here. */
+    /** How often each task was started on this target. */
     public synchronized Map<String, Integer> starts() {
         return Map.copyOf(mStarts);
     }
 
-    /** Most runs that were at work at one moment. */
+    /** Maximum number of concurrent runs so far. */
     public synchronized int maxRunning() {
         return mMaxRunning;
     }
@@ -142,20 +142,20 @@
         return System.nanoTime() / 1_000_000 + CLOCK_OFFSET_MS;
     }
 
-    private void handle(IncomingRequest in) {
-        if (in.header("Expect-Instance").filter(id -> !id.equals(mId)).isPresent()) {
-            in.reply(OTHER_INCARNATION, "{}");
+    private void handle(IncomingRequest request) {
+        if (request.header("Expect-Instance").filter(id -> !id.equals(mId)).isPresent()) {
+            request.reply(OTHER_INCARNATION, "{}");
             return;
         }
         try {
-            JsonNode call = PlatformJson.tree(in.body());
-            if (mode() == AnswerMode.LATE && !in.path().equals("/hold")) {
-                mTimer.schedule(() -> execute(in, call), 2, TimeUnit.SECONDS);
+            JsonNode body = PlatformJson.tree(request.body());
+            if (mode() == AnswerMode.LATE && !request.path().equals("/hold")) {
+                mTimer.schedule(() -> execute(request, body), 2, TimeUnit.SECONDS);
             } else {
-                execute(in, call);
+                execute(request, body);
             }
         } catch (PlatformException e) {
-            in.reply(BAD_REQUEST, "{}");
+            request.reply(BAD_REQUEST, "{}");
         }
     }
 
@@ -163,28 +163,28 @@
         return mAnswerMode;
     }
 
-    private synchronized void execute(IncomingRequest in, JsonNode call) {
-        if (call.path("Fence").asLong() < mFence) {
-            in.reply(CONFLICT, refusal("fence"));
+    private synchronized void execute(IncomingRequest request, JsonNode body) {
+        if (body.path("Fence").asLong() < mFence) {
+            request.reply(CONFLICT, refusal("fence"));
             return;
         }
-        mFence = call.path("Fence").asLong();
-        switch (in.path()) {
-            case "/hold" -> hold(in, call);
-            case "/run-start" -> answer(in, start(call));
-            case "/run-stop" -> answer(in, stop(call));
-            default -> in.reply(BAD_REQUEST, "{}");
+        mFence = body.path("Fence").asLong();
+        switch (request.path()) {
+            case "/hold" -> hold(request, body);
+            case "/run-start" -> answer(request, start(body));
+            case "/run-stop" -> answer(request, stop(body));
+            default -> request.reply(BAD_REQUEST, "{}");
         }
     }
 
-    /** An empty reason is success. */
-    private void answer(IncomingRequest in, String reason) {
+    /** Answers an order; an empty reason means success. */
+    private void answer(IncomingRequest request, String reason) {
         if (mAnswerMode != AnswerMode.PROMPT) {
-            in.drop();
+            request.drop();
         } else if (reason.isEmpty()) {
-            in.reply(OK, "{\"ClockMs\":" + clockMs() + "}");
+            request.reply(OK, "{\"ClockMs\":" + clockMs() + "}");
         } else {
-            in.reply(CONFLICT, refusal(reason));
+            request.reply(CONFLICT, refusal(reason));
         }
     }
 
@@ -196,13 +196,13 @@
         mLeaseEndMs = Math.max(mLeaseEndMs, Math.min(untilMs, clockMs() + MAX_LEASE_MS));
     }
 
-    private String start(JsonNode call) {
-        String task = call.path("Task").asText();
-        int number = call.path("Run").asInt();
-        if (call.path("UntilMs").asLong() <= clockMs()) {
+    private String start(JsonNode body) {
+        String task = body.path("Task").asText();
+        int number = body.path("Run").asInt();
+        if (body.path("UntilMs").asLong() <= clockMs()) {
             return "late";
         }
-        extendLease(call.path("UntilMs").asLong());
+        extendLease(body.path("UntilMs").asLong());
         Run running = mRunning.get(task);
         if (running != null && running.number() == number) {
             return "";
@@ -212,14 +212,14 @@
         }
         mHighestRuns.put(task, number);
         mStarts.merge(task, 1, Integer::sum);
-        mRunning.put(task, new Run(number, clockMs() + call.path("Spec").asLong()));
+        mRunning.put(task, new Run(number, clockMs() + body.path("Spec").asLong()));
         mMaxRunning = Math.max(mMaxRunning, mRunning.size());
         return "";
     }
 
-    private String stop(JsonNode call) {
-        String task = call.path("Task").asText();
-        int number = call.path("Run").asInt();
+    private String stop(JsonNode body) {
+        String task = body.path("Task").asText();
+        int number = body.path("Run").asInt();
         mHighestRuns.merge(task, number, Math::max);
         Run running = mRunning.get(task);
         if (running != null && running.number() == number) {
@@ -228,34 +228,34 @@
         return "";
     }
 
-    private void hold(IncomingRequest in, JsonNode call) {
-        extendLease(call.path("UntilMs").asLong());
-        mEnded.removeIf(row -> row.cursor() <= call.path("AckCursor").asLong());
-        mHeldCalls.add(new HeldCall(in, clockMs() + call.path("WaitMs").asLong()));
+    private void hold(IncomingRequest request, JsonNode body) {
+        extendLease(body.path("UntilMs").asLong());
+        mEnded.removeIf(endedRun -> endedRun.cursor() <= body.path("AckCursor").asLong());
+        mHeldCalls.add(new HeldCall(request, clockMs() + body.path("WaitMs").asLong()));
         answerHeldCalls();
     }
 
     private synchronized void tick() {
-        boolean lapsed = clockMs() >= mLeaseEndMs;
+        boolean leaseExpired = clockMs() >= mLeaseEndMs;
         for (String task : List.copyOf(mRunning.keySet())) {
             Run run = mRunning.get(task);
-            if (lapsed || clockMs() >= run.endsMs()) {
-                endRun(task, run, lapsed ? "lapsed" : "done");
+            if (leaseExpired || clockMs() >= run.endsMs()) {
+                endRun(task, run, leaseExpired ? "lapsed" : "done");
             }
         }
         answerHeldCalls();
     }
 
-    private void endRun(String task, Run run, String how) {
+    private void endRun(String task, Run run, String cause) {
         mRunning.remove(task);
-        mEnded.add(new EndedRun(mNextCursor++, task, run.number(), how));
+        mEnded.add(new EndedRun(mNextCursor++, task, run.number(), cause));
     }
 
     private void answerHeldCalls() {
-        for (HeldCall held : List.copyOf(mHeldCalls)) {
-            if (!mEnded.isEmpty() || clockMs() >= held.untilMs()) {
-                mHeldCalls.remove(held);
-                held.request().reply(OK, report());
+        for (HeldCall heldCall : List.copyOf(mHeldCalls)) {
+            if (!mEnded.isEmpty() || clockMs() >= heldCall.untilMs()) {
+                mHeldCalls.remove(heldCall);
+                heldCall.request().reply(OK, report());
             }
         }
     }
@@ -267,12 +267,12 @@
         mRunning.forEach(
                 (task, run) -> running.addArray().add(task).add(run.number()).add("").add(50));
         ArrayNode ended = report.putArray("Ended");
-        for (EndedRun row : mEnded) {
+        for (EndedRun endedRun : mEnded) {
             ended.addArray()
-                    .add(row.cursor())
-                    .add(row.task())
-                    .add(row.run())
-                    .add(row.cause())
+                    .add(endedRun.cursor())
+                    .add(endedRun.task())
+                    .add(endedRun.run())
+                    .add(endedRun.cause())
                     .add("");
         }
         return report.toString();
--- a/standin/src/main/java/org/boragegap/standin/LogMode.java
+++ b/standin/src/main/java/org/boragegap/standin/LogMode.java
@@ -1,12 +1,12 @@
 package org.boragegap.standin;
 
-/** How the log stand-in behaves on one of its listeners. */
+/** Behaviour of the log stand-in on one of its listeners. */
 public enum LogMode {
-    /** Answers at once. */
+    /** Answers without delay. */
     UP,
     /** Closes every connection without an answer. */
     DOWN,
-    /** Answers late. */
+    /** Answers after a delay. */
     SLOW,
     /** Appends, then closes the connection without an answer. */
     LOSE_REPLIES;
--- a/standin/src/main/java/org/boragegap/standin/LogStandin.java
+++ b/standin/src/main/java/org/boragegap/standin/LogStandin.java
@@ -14,10 +14,10 @@
 import org.boragegap.platform.PlatformJson;
 
 /**
- * Stands in for the platform's append-only log, in memory.
+ * In-memory stand-in for the platform's append-only log.
  *
- * <p>It may listen on several ports, each with its own mode, so that one failure domain can be cut
- * off from it and not the others.
+ * <p>It can listen on several ports, each with its own mode, so that a test can cut off one failure
+ * domain and not the others.
  */
 public final class LogStandin implements Standin {
     private static final int MAX_BODY_BYTES = 1024 * 1024;
@@ -49,11 +49,11 @@
                             host,
                             ports.get(i),
                             MAX_BODY_BYTES,
-                            in -> handle(listener, in)));
+                            request -> handle(listener, request)));
         }
     }
 
-    /** Makes a log that listens on the given ports. */
+    /** Creates a log that listens on the given ports. */
     public static LogStandin create(String host, List<Integer> ports, long retentionMs) {
         return new LogStandin(host, ports, retentionMs);
     }
@@ -71,66 +71,67 @@
         mScheduler.shutdownNow();
     }
 
-    private void handle(int listener, IncomingRequest in) {
-        if (in.path().equals("/control")) {
-            control(in);
-        } else if (in.path().equals("/stats")) {
-            in.reply(OK, "{\"appends\":" + mAppends + ",\"reads\":" + mReads + "}");
+    private void handle(int listener, IncomingRequest request) {
+        if (request.path().equals("/control")) {
+            control(request);
+        } else if (request.path().equals("/stats")) {
+            request.reply(OK, "{\"appends\":" + mAppends + ",\"reads\":" + mReads + "}");
         } else if (mModes[listener] == LogMode.SLOW) {
-            mScheduler.schedule(() -> serve(listener, in), mSlowMs, TimeUnit.MILLISECONDS);
+            mScheduler.schedule(() -> serve(listener, request), mSlowMs, TimeUnit.MILLISECONDS);
         } else {
-            serve(listener, in);
+            serve(listener, request);
         }
     }
 
-    private void control(IncomingRequest in) {
+    private void control(IncomingRequest request) {
         try {
-            LogMode mode = LogMode.valueOf(in.query("mode").orElse("UP"));
-            mSlowMs = Long.parseLong(in.query("slowMs").orElse("500"));
-            int listener = Integer.parseInt(in.query("listener").orElse("-1"));
+            LogMode mode = LogMode.valueOf(request.query("mode").orElse("UP"));
+            mSlowMs = Long.parseLong(request.query("slowMs").orElse("500"));
+            int listener = Integer.parseInt(request.query("listener").orElse("-1"));
             for (int i = 0; i < mModes.length; i++) {
                 if (listener < 0 || listener == i) {
                     mModes[i] = mode;
                 }
             }
-            in.reply(OK, "{}");
+            request.reply(OK, "{}");
         } catch (IllegalArgumentException e) {
-            in.reply(BAD_REQUEST, "{\"error\":\"bad control\"}");
+            request.reply(BAD_REQUEST, "{\"error\":\"bad control\"}");
         }
     }
 
-    private synchronized void serve(int listener, IncomingRequest in) {
+    private synchronized void serve(int listener, IncomingRequest request) {
         LogMode mode = mModes[listener];
         if (!mode.appends()) {
-            in.drop();
+            request.drop();
             return;
         }
         removeExpired();
-        if (in.path().equals("/append")) {
+        if (request.path().equals("/append")) {
             mAppends++;
-            mRecords.add(new LogPage.Item(mNextOffset++, System.currentTimeMillis(), in.text()));
-            answer(mode, in, "{\"offset\":" + (mNextOffset - 1) + "}");
-        } else if (in.path().equals("/read")) {
+            mRecords.add(
+                    new LogPage.Item(mNextOffset++, System.currentTimeMillis(), request.text()));
+            answer(mode, request, "{\"offset\":" + (mNextOffset - 1) + "}");
+        } else if (request.path().equals("/read")) {
             mReads++;
-            answer(mode, in, PlatformJson.write(page(parseFrom(in))));
+            answer(mode, request, PlatformJson.write(page(parseFrom(request))));
         } else {
-            in.reply(NOT_FOUND, "{\"error\":\"no such path\"}");
+            request.reply(NOT_FOUND, "{\"error\":\"no such path\"}");
         }
     }
 
-    private static long parseFrom(IncomingRequest in) {
+    private static long parseFrom(IncomingRequest request) {
         try {
-            return Long.parseLong(in.query("from").orElse("0"));
+            return Long.parseLong(request.query("from").orElse("0"));
         } catch (NumberFormatException e) {
             return 0;
         }
     }
 
-    private static void answer(LogMode mode, IncomingRequest in, String json) {
+    private static void answer(LogMode mode, IncomingRequest request, String json) {
         if (mode.replies()) {
-            in.reply(OK, json);
+            request.reply(OK, json);
         } else {
-            in.drop();
+            request.drop();
         }
     }
 
--- a/standin/src/main/java/org/boragegap/standin/LoopbackPorts.java
+++ b/standin/src/main/java/org/boragegap/standin/LoopbackPorts.java
@@ -8,8 +8,8 @@
 /**
  * Finds free ports on loopback.
  *
- * <p>They lie below the range from which the system takes ports for outgoing connections, since one
- * of those could take a port between the look and its use.
+ * <p>They are below the range of ephemeral ports, from which the system takes ports for outgoing
+ * connections: such a connection could take a port between the check and its use.
  */
 public final class LoopbackPorts {
     private static final int FIRST_PORT = 10_000;
@@ -20,7 +20,7 @@
 
     private LoopbackPorts() {}
 
-    /** A port that was free a moment ago, and that this process hasn't given out yet. */
+    /** A port that was free when checked and that this process hasn't returned before. */
     public static int next() throws IOException {
         for (int tries = 0; tries < PORT_COUNT; tries++) {
             int port = FIRST_PORT + Math.floorMod(sNext.getAndIncrement(), PORT_COUNT);
--- a/standin/src/main/java/org/boragegap/standin/SampleCalls.java
+++ b/standin/src/main/java/org/boragegap/standin/SampleCalls.java
@@ -5,7 +5,7 @@
 import org.boragegap.platform.PlatformJson;
 import org.boragegap.platform.Topics;
 
-/** What operators and clients of the platform send, for a first look and for tests. */
+/** Sample calls of operators and clients of the platform, for quick starts and tests. */
 public final class SampleCalls {
     /** Service that runs the tasks of all sample queues. */
     public static final String SERVICE = "tasks";
@@ -23,7 +23,7 @@
 
     private SampleCalls() {}
 
-    /** Puts a configuration with a queue for each path prefix into a store. */
+    /** Writes a configuration with a queue for each path prefix to a store. */
     public static void putConfiguration(StoreStandin store, int version, String... prefixes) {
         ObjectNode configuration = PlatformJson.object().put("Version", version);
         ArrayNode routes = configuration.putArray("Routes");
@@ -48,10 +48,10 @@
     }
 
     /**
-     * Body of a job that need not be stored.
+     * Body of a best-effort job, which need not be stored.
      *
-     * @param tasks how many tasks it has
-     * @param spec what a target stand-in is to do; a number is the run time in ms
+     * @param tasks number of tasks
+     * @param spec instructions for a target stand-in; a number is the run time in ms
      */
     public static String jobBody(int tasks, String spec) {
         ObjectNode job = PlatformJson.object().put("Spec", spec).put("BestEffort", true);
--- a/standin/src/main/java/org/boragegap/standin/Standin.java
+++ b/standin/src/main/java/org/boragegap/standin/Standin.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** A service that stands in for something outside the system. */
+/** A stand-in for a service outside the system. */
 public interface Standin {
 
     /** Starts listening. */
--- a/standin/src/main/java/org/boragegap/standin/StoreStandin.java
+++ b/standin/src/main/java/org/boragegap/standin/StoreStandin.java
@@ -22,7 +22,7 @@
 import org.boragegap.platform.PlatformException;
 import org.boragegap.platform.PlatformJson;
 
-/** Stands in for the platform's store: keyed topics and one group, in memory. */
+/** In-memory stand-in for the platform's store: keyed topics and one consumer group. */
 public final class StoreStandin implements Standin {
     private static final int MAX_BODY_BYTES = 1024 * 1024;
     private static final int PARTITIONS = 12;
@@ -62,7 +62,7 @@
         mTimer = timer;
     }
 
-    /** Makes a store; its delays run on the timer. */
+    /** Creates a store that schedules its delayed answers on the timer. */
     public static StoreStandin create(String host, int port, ScheduledExecutorService timer) {
         return new StoreStandin(host, port, timer);
     }
@@ -77,18 +77,18 @@
         mEndpoint.stop();
     }
 
-    /** Writes the newest record of a key. */
+    /** Appends a record, which becomes the newest of its key. */
     public synchronized void put(String topic, String key, String value) {
         byte[] bytes = value.getBytes(StandardCharsets.UTF_8);
         topic(topic).mRecords.add(new Entry(key, bytes));
     }
 
-    /** Deletes a key. */
+    /** Deletes a key by appending a record without a value. */
     public synchronized void delete(String topic, String key) {
         topic(topic).mRecords.add(new Entry(key, new byte[0]));
     }
 
-    /** Deletes the history of a topic; the newest record of each key stays known. */
+    /** Compacts a topic: keeps only the newest record of each key, at new offsets. */
     public synchronized void compact(String name) {
         Topic topic = topic(name);
         Map<String, Entry> newest = newest(topic);
@@ -98,7 +98,7 @@
         topic.mFirstOffset = end;
     }
 
-    /** Takes it down, or brings it back. */
+    /** Takes the store down or brings it back up. */
     public synchronized void down(boolean down) {
         mDown = down;
     }
@@ -118,23 +118,23 @@
         return newest;
     }
 
-    private void handle(IncomingRequest in) {
+    private void handle(IncomingRequest request) {
         if (isDown()) {
-            in.reply(UNAVAILABLE, "{}");
+            request.reply(UNAVAILABLE, "{}");
             return;
         }
         try {
-            switch (in.path()) {
-                case "/log-join" -> in.reply(OK, join(PlatformJson.tree(in.body())));
-                case "/log-leave" -> in.reply(OK, leave(PlatformJson.tree(in.body())));
-                case "/log-owners" -> in.reply(OK, owners());
-                case "/log-newest" -> in.reply(OK, newest(in.query("Topic").orElse("")));
-                case "/log-read" -> read(in, System.nanoTime());
-                case "/log-append" -> append(in);
-                default -> in.reply(NOT_FOUND, "{}");
+            switch (request.path()) {
+                case "/log-join" -> request.reply(OK, join(PlatformJson.tree(request.body())));
+                case "/log-leave" -> request.reply(OK, leave(PlatformJson.tree(request.body())));
+                case "/log-owners" -> request.reply(OK, owners());
+                case "/log-newest" -> request.reply(OK, newest(request.query("Topic").orElse("")));
+                case "/log-read" -> read(request, System.nanoTime());
+                case "/log-append" -> append(request);
+                default -> request.reply(NOT_FOUND, "{}");
             }
         } catch (PlatformException e) {
-            in.reply(NOT_FOUND, "{}");
+            request.reply(NOT_FOUND, "{}");
         }
     }
 
@@ -142,11 +142,11 @@
         return mDown;
     }
 
-    // The group
+    // Consumer group
 
-    private synchronized String join(JsonNode call) {
+    private synchronized String join(JsonNode body) {
         removeExpiredMembers();
-        String name = call.path("Member").asText();
+        String name = body.path("Member").asText();
         Member member = mMembers.get(name);
         if (member == null) {
             member = new Member();
@@ -154,9 +154,9 @@
             mGeneration++;
         }
         member.mLastJoinMs = nowMs();
-        member.mLeaseMs = call.path("TtlMs").asLong();
+        member.mLeaseMs = body.path("TtlMs").asLong();
         List<String> topics = new ArrayList<>();
-        call.path("Topics").forEach(topic -> topics.add(topic.asText()));
+        body.path("Topics").forEach(topic -> topics.add(topic.asText()));
         member.mTopics = topics;
         ObjectNode answer = PlatformJson.object();
         answer.put("Generation", mGeneration);
@@ -171,7 +171,7 @@
         return answer.toString();
     }
 
-    /** Partitions are dealt to those that ask for the topic, in turn. */
+    /** Assigns the partitions of a topic to its subscribers in turn. */
     private String owner(String topic, int part) {
         List<String> names =
                 mMembers.entrySet().stream()
@@ -181,8 +181,8 @@
         return names.get(part % names.size());
     }
 
-    private synchronized String leave(JsonNode call) {
-        mMembers.remove(call.path("Member").asText());
+    private synchronized String leave(JsonNode body) {
+        mMembers.remove(body.path("Member").asText());
         mGeneration++;
         return "{}";
     }
@@ -196,10 +196,10 @@
     }
 
     private void removeExpiredMembers() {
-        boolean gone =
+        boolean expired =
                 mMembers.values()
                         .removeIf(member -> nowMs() - member.mLastJoinMs > member.mLeaseMs);
-        if (gone) {
+        if (expired) {
             mGeneration++;
         }
     }
@@ -224,36 +224,36 @@
         return answer.toString();
     }
 
-    /** Takes one record of a keyed topic, on the condition that the topic ends where it says. */
-    private synchronized void append(IncomingRequest in) {
-        Topic topic = topic(in.query("Topic").orElse(""));
-        long at = Long.parseLong(in.query("At").orElse(Long.toString(topic.endOffset())));
+    /** Appends a record to a keyed topic, provided that the topic ends at the given offset. */
+    private synchronized void append(IncomingRequest request) {
+        Topic topic = topic(request.query("Topic").orElse(""));
+        long at = Long.parseLong(request.query("At").orElse(Long.toString(topic.endOffset())));
         if (at != topic.endOffset()) {
-            in.reply(PRECONDITION_FAILED, "{\"End\":" + topic.endOffset() + "}");
+            request.reply(PRECONDITION_FAILED, "{\"End\":" + topic.endOffset() + "}");
             return;
         }
-        ByteBuffer record = ByteBuffer.wrap(in.body());
+        ByteBuffer record = ByteBuffer.wrap(request.body());
         byte[] content = new byte[record.getInt()];
         record.get(content);
         int keyLength = Byte.toUnsignedInt(content[0]);
         String key = new String(content, 1, keyLength, StandardCharsets.UTF_8);
         byte[] value = Arrays.copyOfRange(content, 1 + keyLength, content.length);
         topic.mRecords.add(new Entry(key, value));
-        in.reply(OK, "{\"Offset\":" + at + ",\"End\":" + topic.endOffset() + "}");
+        request.reply(OK, "{\"Offset\":" + at + ",\"End\":" + topic.endOffset() + "}");
     }
 
-    private void read(IncomingRequest in, long sinceNanos) {
-        String name = in.query("Topic").orElse("");
-        long from = Long.parseLong(in.query("From").orElse("0"));
-        long waitMs = Long.parseLong(in.query("WaitMs").orElse("0"));
-        long waitedMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sinceNanos);
+    private void read(IncomingRequest request, long startNanos) {
+        String name = request.query("Topic").orElse("");
+        long from = Long.parseLong(request.query("From").orElse("0"));
+        long waitMs = Long.parseLong(request.query("WaitMs").orElse("0"));
+        long waitedMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos);
         if (isCompacted(name, from)) {
-            in.reply(GONE, "{}");
+            request.reply(GONE, "{}");
         } else if (waitedMs < waitMs && isEmpty(name, from)) {
             mTimer.schedule(
-                    () -> read(in, sinceNanos), READ_POLL_INTERVAL_MS, TimeUnit.MILLISECONDS);
+                    () -> read(request, startNanos), READ_POLL_INTERVAL_MS, TimeUnit.MILLISECONDS);
         } else {
-            in.reply(OK, encodeRecords(name, from));
+            request.reply(OK, encodeRecords(name, from));
         }
     }
 
--- a/standin/src/main/java/org/boragegap/standin/TargetMode.java
+++ b/standin/src/main/java/org/boragegap/standin/TargetMode.java
@@ -1,22 +1,22 @@
 package org.boragegap.standin;
 
-/** How a worker or minion stand-in behaves. */
+/** Behaviour of a worker or minion stand-in. */
 public enum TargetMode {
-    /** Runs what it is given. */
+    /** Runs every task. */
     NORMAL,
-    /** Fails everything at once. */
+    /** Starts every task and reports at once that it failed. */
     FAIL_ALL,
-    /** Starts what it is given and never answers. */
+    /** Starts every task and never answers. */
     FREEZE,
-    /** Starts what it is given and closes the connection without an answer. */
+    /** Starts every task and closes the connection without an answer. */
     DROP,
-    /** Refuses what it is given, since it is going away. */
+    /** Refuses every task because it is leaving. */
     LEAVING,
-    /** Refuses what it is given, since it has no room. */
+    /** Refuses every task because it is at capacity. */
     BUSY,
-    /** Runs what it is given and answers for another task. */
+    /** Runs every task and answers with the report of another task. */
     MIX_UP,
-    /** Runs what it is given and cuts the answer short. */
+    /** Runs every task and truncates the answer. */
     CUT_SHORT;
 
     boolean startsTasks() {
--- a/standin/src/main/java/org/boragegap/standin/TargetStandin.java
+++ b/standin/src/main/java/org/boragegap/standin/TargetStandin.java
@@ -20,10 +20,12 @@
 import org.boragegap.platform.TaskReport;
 
 /**
- * Stands in for a worker or a minion: runs a task by waiting as long as its payload says.
+ * Stand-in for a worker or a minion; it simulates a task by waiting for the run time in its
+ * payload.
  *
- * <p>A worker starts what it is given, whether it fits or not, and everything on it slows down in
- * proportion. A minion runs as many as it has slots; more of them wait in its own queue.
+ * <p>A worker starts every task without checking its capacity; a task that starts while more CPU is
+ * in use than the worker has takes longer in proportion. A minion runs as many tasks as it has
+ * slots and queues further ones.
  */
 public final class TargetStandin implements Standin {
     private static final int MAX_BODY_BYTES = 1024 * 1024;
@@ -64,13 +66,13 @@
         mTimer = timer;
     }
 
-    /** Makes a worker. */
+    /** Creates a worker. */
     public static TargetStandin worker(
             String host, int port, Resources capacity, int slots, ScheduledExecutorService timer) {
         return new TargetStandin(host, port, Role.WORKER, capacity, slots, timer);
     }
 
-    /** Makes a minion. */
+    /** Creates a minion. */
     public static TargetStandin minion(
             String host, int port, int slots, ScheduledExecutorService timer) {
         return new TargetStandin(host, port, Role.MINION, Resources.NONE, slots, timer);
@@ -86,26 +88,26 @@
         mEndpoint.stop();
     }
 
-    /** Changes how it behaves from now on. */
+    /** Sets the behaviour from now on. */
     public void mode(TargetMode mode) {
         mMode = mode;
     }
 
-    /** Starts so far, by submission and index. */
+    /** Number of starts so far, by submission and task index. */
     public Map<String, AtomicInteger> starts() {
         return mStarts;
     }
 
-    private void handle(IncomingRequest in) {
-        String route = in.method() + " " + in.path();
+    private void handle(IncomingRequest request) {
+        String route = request.method() + " " + request.path();
         switch (route) {
-            case "POST /tasks" -> handleOrder(in);
-            case "DELETE /tasks" -> cancel(in);
-            case "GET /load" -> in.reply(OK, "text/plain", Map.of(), Double.toString(load()));
-            case "GET /starts" -> in.reply(OK, PlatformJson.write(mStarts));
-            case "GET /stats" -> in.reply(OK, stats());
-            case "POST /control" -> control(in);
-            default -> in.reply(BAD_REQUEST, "{\"error\":\"no such path\"}");
+            case "POST /tasks" -> handleOrder(request);
+            case "DELETE /tasks" -> cancel(request);
+            case "GET /load" -> request.reply(OK, "text/plain", Map.of(), Double.toString(load()));
+            case "GET /starts" -> request.reply(OK, PlatformJson.write(mStarts));
+            case "GET /stats" -> request.reply(OK, stats());
+            case "POST /control" -> control(request);
+            default -> request.reply(BAD_REQUEST, "{\"error\":\"no such path\"}");
         }
     }
 
@@ -119,41 +121,41 @@
         return "{\"starts\":" + mTotalStarts.get() + ",\"mostSlots\":" + mMaxUsedSlots + "}";
     }
 
-    private void control(IncomingRequest in) {
+    private void control(IncomingRequest request) {
         try {
-            mMode = TargetMode.valueOf(in.query("mode").orElse("NORMAL"));
-            in.reply(OK, "{}");
+            mMode = TargetMode.valueOf(request.query("mode").orElse("NORMAL"));
+            request.reply(OK, "{}");
         } catch (IllegalArgumentException e) {
-            in.reply(BAD_REQUEST, "{\"error\":\"no such mode\"}");
+            request.reply(BAD_REQUEST, "{\"error\":\"no such mode\"}");
         }
     }
 
-    private void handleOrder(IncomingRequest in) {
+    private void handleOrder(IncomingRequest request) {
         TaskOrder order;
         TaskPayload payload;
         try {
-            order = PlatformJson.read(in.text(), TaskOrder.class);
+            order = PlatformJson.read(request.text(), TaskOrder.class);
             payload = PlatformJson.read(order.payload(), TaskPayload.class);
         } catch (PlatformException e) {
-            in.reply(BAD_REQUEST, "{\"error\":\"not a task\"}");
+            request.reply(BAD_REQUEST, "{\"error\":\"not a task\"}");
             return;
         }
         if (!mMode.startsTasks()) {
             RefusalCause cause =
                     mMode == TargetMode.BUSY ? RefusalCause.BUSY : RefusalCause.LEAVING;
-            refuse(in, order, cause);
+            refuse(request, order, cause);
         } else if (System.currentTimeMillis() > order.startByWallMs()) {
-            refuse(in, order, RefusalCause.TOO_LATE);
+            refuse(request, order, RefusalCause.TOO_LATE);
         } else {
-            runOrQueue(new AcceptedTask(in, order, payload, System.nanoTime() / 1_000_000));
+            runOrQueue(new AcceptedTask(request, order, payload, System.nanoTime() / 1_000_000));
         }
     }
 
-    private static void refuse(IncomingRequest in, TaskOrder order, RefusalCause cause) {
+    private static void refuse(IncomingRequest request, TaskOrder order, RefusalCause cause) {
         TaskReport report =
                 new TaskReport(
                         order.submission(), order.index(), null, 0, Resources.NONE, cause, null);
-        in.reply(REFUSED, PlatformJson.write(report));
+        request.reply(REFUSED, PlatformJson.write(report));
     }
 
     private synchronized void runOrQueue(AcceptedTask task) {
@@ -220,23 +222,25 @@
     }
 
     private static void reply(AcceptedTask task, TargetMode mode) {
-        IncomingRequest in = task.request();
+        IncomingRequest request = task.request();
         TaskOrder order = task.order();
         long tookMs = System.nanoTime() / 1_000_000 - task.startedMs();
         Resources used = new Resources(cpuMillis(task), order.need().memoryMb(), 0);
         switch (mode) {
-            case DROP -> in.drop();
-            case FAIL_ALL -> in.reply(FAILED, reportJson(order, null, 0, used, "it failed"));
+            case DROP -> request.drop();
+            case FAIL_ALL -> request.reply(FAILED, reportJson(order, null, 0, used, "it failed"));
             case CUT_SHORT -> {
-                String whole = reportJson(order, task.payload().result(), tookMs, used, null);
-                in.reply(OK, whole.substring(0, whole.length() / 2));
+                String fullReport = reportJson(order, task.payload().result(), tookMs, used, null);
+                request.reply(OK, fullReport.substring(0, fullReport.length() / 2));
             }
             case MIX_UP ->
-                    in.reply(
+                    request.reply(
                             OK,
                             PlatformJson.write(
                                     new TaskReport("other", 0, "theirs", 1, used, null, null)));
-            default -> in.reply(OK, reportJson(order, task.payload().result(), tookMs, used, null));
+            default ->
+                    request.reply(
+                            OK, reportJson(order, task.payload().result(), tookMs, used, null));
         }
     }
 
@@ -247,15 +251,15 @@
                         order.submission(), order.index(), result, tookMs, used, null, error));
     }
 
-    private void cancel(IncomingRequest in) {
-        String key = in.query("owner").orElse("") + "/" + in.query("attempt").orElse("");
-        ScheduledFuture<?> ending = mScheduledEnds.remove(key);
+    private void cancel(IncomingRequest request) {
+        String key = request.query("owner").orElse("") + "/" + request.query("attempt").orElse("");
+        ScheduledFuture<?> scheduledEnd = mScheduledEnds.remove(key);
         AcceptedTask task = mRunning.remove(key);
-        if (ending != null && task != null && ending.cancel(false)) {
+        if (scheduledEnd != null && task != null && scheduledEnd.cancel(false)) {
             release(task);
             task.request()
                     .reply(FAILED, reportJson(task.order(), null, 0, Resources.NONE, "stopped"));
         }
-        in.reply(OK, "{}");
+        request.reply(OK, "{}");
     }
 }
--- a/standin/src/main/java/org/boragegap/standin/TaskPayload.java
+++ b/standin/src/main/java/org/boragegap/standin/TaskPayload.java
@@ -1,10 +1,10 @@
 package org.boragegap.standin;
 
 /**
- * What a stand-in is told to do by a task's payload.
+ * Payload of a task, which tells a stand-in what to simulate.
  *
- * @param runMs how long it runs
- * @param result what it answers
- * @param cpuMillis what it really uses; 0 for what was declared
+ * @param runMs run time of the task, in ms
+ * @param result result to return
+ * @param cpuMillis CPU that it actually uses; 0 to use what the task declares
  */
 public record TaskPayload(long runMs, String result, int cpuMillis) {}
--- a/standin/src/main/java/org/boragegap/standin/VmListStandin.java
+++ b/standin/src/main/java/org/boragegap/standin/VmListStandin.java
@@ -13,7 +13,7 @@
 import org.boragegap.platform.PlatformJson;
 import org.boragegap.platform.VmList;
 
-/** Stands in for the platform's list of VMs; a change shows after a lag. */
+/** Stand-in for the platform's list of VMs; changes become visible after a lag. */
 public final class VmListStandin implements Standin {
     private static final int MAX_BODY_BYTES = 4 * 1024 * 1024;
     private static final int OK = 200;
@@ -27,9 +27,9 @@
             Executors.newSingleThreadScheduledExecutor();
     private volatile VmList mVisibleList;
 
-    private VmListStandin(String host, List<Integer> ports, long lagMs, VmList first) {
+    private VmListStandin(String host, List<Integer> ports, long lagMs, VmList initialList) {
         mLagMs = lagMs;
-        mVisibleList = first;
+        mVisibleList = initialList;
         mDown = new boolean[ports.size()];
         for (int i = 0; i < ports.size(); i++) {
             int listener = i;
@@ -39,13 +39,14 @@
                             host,
                             ports.get(i),
                             MAX_BODY_BYTES,
-                            in -> handle(listener, in)));
+                            request -> handle(listener, request)));
         }
     }
 
-    /** Makes a list that listens on the given ports. */
-    public static VmListStandin create(String host, List<Integer> ports, long lagMs, VmList first) {
-        return new VmListStandin(host, ports, lagMs, first);
+    /** Creates a list that listens on the given ports. */
+    public static VmListStandin create(
+            String host, List<Integer> ports, long lagMs, VmList initialList) {
+        return new VmListStandin(host, ports, lagMs, initialList);
     }
 
     @Override
@@ -61,40 +62,41 @@
         mScheduler.shutdownNow();
     }
 
-    private void handle(int listener, IncomingRequest in) {
-        if (in.path().equals("/control")) {
-            boolean down = in.query("down").map(Boolean::parseBoolean).orElse(false);
-            int chosen = Integer.parseInt(in.query("listener").orElse("-1"));
+    private void handle(int listener, IncomingRequest request) {
+        if (request.path().equals("/control")) {
+            boolean down = request.query("down").map(Boolean::parseBoolean).orElse(false);
+            int chosenListener = Integer.parseInt(request.query("listener").orElse("-1"));
             for (int i = 0; i < mDown.length; i++) {
-                if (chosen < 0 || chosen == i) {
+                if (chosenListener < 0 || chosenListener == i) {
                     mDown[i] = down;
                 }
             }
-            in.reply(OK, "{}");
-        } else if (in.method().equals("POST")) {
-            replaceList(in);
+            request.reply(OK, "{}");
+        } else if (request.method().equals("POST")) {
+            replaceList(request);
         } else if (mDown[listener]) {
-            in.drop();
+            request.drop();
         } else {
-            serveList(in);
+            serveList(request);
         }
     }
 
-    private void serveList(IncomingRequest in) {
+    private void serveList(IncomingRequest request) {
         String json = PlatformJson.write(mVisibleList);
-        String tag = '"' + Integer.toHexString(json.hashCode()) + '"';
-        boolean known = in.header("If-None-Match").filter(tag::equals).isPresent();
-        Map<String, String> headers = Map.of("ETag", tag);
-        in.reply(known ? NOT_MODIFIED : OK, "application/json", headers, known ? "" : json);
+        String etag = '"' + Integer.toHexString(json.hashCode()) + '"';
+        boolean unchanged = request.header("If-None-Match").filter(etag::equals).isPresent();
+        Map<String, String> headers = Map.of("ETag", etag);
+        request.reply(
+                unchanged ? NOT_MODIFIED : OK, "application/json", headers, unchanged ? "" : json);
     }
 
-    private void replaceList(IncomingRequest in) {
+    private void replaceList(IncomingRequest request) {
         try {
-            VmList list = PlatformJson.read(in.text(), VmList.class);
+            VmList list = PlatformJson.read(request.text(), VmList.class);
             mScheduler.schedule(() -> mVisibleList = list, mLagMs, TimeUnit.MILLISECONDS);
-            in.reply(OK, "{}");
+            request.reply(OK, "{}");
         } catch (PlatformException e) {
-            in.reply(BAD_REQUEST, "{\"error\":\"not a list of VMs\"}");
+            request.reply(BAD_REQUEST, "{\"error\":\"not a list of VMs\"}");
         }
     }
 }
--- a/standin/src/main/java/org/boragegap/standin/package-info.java
+++ b/standin/src/main/java/org/boragegap/standin/package-info.java
@@ -1,2 +1,2 @@
-/** Small stand-ins of what lies outside: the platform's log, the VM list, workers and minions. */
+/** Stand-ins for the platform's log, store and VM list, and for workers, minions and targets. */
 package org.boragegap.standin;
