--- a/app/src/main/java/org/boragegap/app/BenchCommand.java
+++ b/app/src/main/java/org/boragegap/app/BenchCommand.java
@@ -7,7 +7,7 @@
 import org.apache.logging.log4j.Level;
 import org.apache.logging.log4j.core.config.Configurator;
 
-/** Measures on embedded deployments; docs/MEASURING.md says what and how. */
+/** Runs benchmarks on embedded deployments; docs/MEASURING.md describes them. */
 final class BenchCommand implements Command {
     @Override
     public String name() {
@@ -22,23 +22,27 @@
     @Override
     public Options options() {
         return new Options()
-                .addOption(valued("seed", "N", "load: seed of the arrivals; default 1"))
-                .addOption(valued("load", "PERCENT", "load: of the capacity; default 80"))
-                .addOption(valued("seconds", "N", "load: length of a run; default 20"))
-                .addOption(valued("faults", "true|false", "load: one VM and two targets fail"))
-                .addOption(valued("policy", "NAME", "load: usual, baseline or both; default both"));
+                .addOption(optionWithValue("seed", "N", "load: seed of the arrivals; default 1"))
+                .addOption(optionWithValue("load", "PERCENT", "load: of the capacity; default 80"))
+                .addOption(optionWithValue("seconds", "N", "load: length of a run; default 20"))
+                .addOption(
+                        optionWithValue(
+                                "faults", "true|false", "load: one VM and two targets fail"))
+                .addOption(
+                        optionWithValue(
+                                "policy", "NAME", "load: usual, baseline or both; default both"));
     }
 
-    private static Option valued(String name, String argument, String meaning) {
-        return Option.builder().longOpt(name).hasArg().argName(argument).desc(meaning).build();
+    private static Option optionWithValue(String name, String argument, String description) {
+        return Option.builder().longOpt(name).hasArg().argName(argument).desc(description).build();
     }
 
     @Override
     public ExitCode run(CommandLine line) throws Exception {
         Configurator.setRootLevel(Level.ERROR);
-        String what = line.getArgList().size() == 1 ? line.getArgList().get(0) : "";
+        String benchmark = line.getArgList().size() == 1 ? line.getArgList().get(0) : "";
         Object result =
-                switch (what) {
+                switch (benchmark) {
                     case "path" -> new PathRun().run();
                     case "sizes" -> new SizesRun().run();
                     case "load" -> LoadComparison.run(loadOptions(line));
--- a/app/src/main/java/org/boragegap/app/BundleCommand.java
+++ b/app/src/main/java/org/boragegap/app/BundleCommand.java
@@ -21,13 +21,16 @@
 import org.apache.commons.cli.Options;
 import org.boragegap.core.bundle.Bundle;
 
-/** Makes, signs, publishes bundles and shows the one in force. */
+/** Creates, signs and publishes configuration bundles, and shows the one in force. */
 final class BundleCommand implements Command {
     private static final int OK = 200;
     private static final int TIMEOUT = 504;
 
-    /** Made when first used: each command is made in each process, and this one costs most. */
-    private static final class Json {
+    /**
+     * Creates the mapper on first use: every process instantiates all commands, and the mapper is
+     * the most expensive part of them.
+     */
+    private static final class MapperHolder {
         private static final ObjectMapper MAPPER =
                 new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT);
     }
@@ -45,41 +48,49 @@
     @Override
     public Options options() {
         return new Options()
-                .addOption(valued("operator", "HOST:PORT", "operator address of an entry VM"))
-                .addOption(valued("key-file", "FILE", "file with the operators' key"))
-                .addOption(valued("body", "FILE", "new: the content, JSON with teams and kinds"))
-                .addOption(valued("parent", "ID", "new: publication in force; none for the first"))
-                .addOption(valued("version", "N", "new: one more than the version in force"))
-                .addOption(valued("signer", "NAME", "sign: name of the key"))
-                .addOption(valued("private-key", "FILE", "sign, keygen: private key in base64"));
+                .addOption(
+                        optionWithValue("operator", "HOST:PORT", "operator address of an entry VM"))
+                .addOption(optionWithValue("key-file", "FILE", "file with the operators' key"))
+                .addOption(
+                        optionWithValue(
+                                "body", "FILE", "new: the content, JSON with teams and kinds"))
+                .addOption(
+                        optionWithValue(
+                                "parent", "ID", "new: publication in force; none for the first"))
+                .addOption(
+                        optionWithValue("version", "N", "new: one more than the version in force"))
+                .addOption(optionWithValue("signer", "NAME", "sign: name of the key"))
+                .addOption(
+                        optionWithValue(
+                                "private-key", "FILE", "sign, keygen: private key in base64"));
     }
 
-    private static Option valued(String name, String argument, String meaning) {
-        return Option.builder().longOpt(name).hasArg().argName(argument).desc(meaning).build();
+    private static Option optionWithValue(String name, String argument, String description) {
+        return Option.builder().longOpt(name).hasArg().argName(argument).desc(description).build();
     }
 
     @Override
     public ExitCode run(CommandLine line) throws Exception {
-        List<String> words = line.getArgList();
-        String action = words.isEmpty() ? "" : words.get(0);
+        List<String> arguments = line.getArgList();
+        String action = arguments.isEmpty() ? "" : arguments.get(0);
         return switch (action) {
             case "new" -> create(line);
             case "keygen" -> generateKey(line);
-            case "sign" -> sign(line, file(words));
-            case "publish" -> publish(line, file(words));
+            case "sign" -> sign(line, bundleFile(arguments));
+            case "publish" -> publish(line, bundleFile(arguments));
             case "status" -> status(line);
             default -> throw new UsageException("expected new, keygen, sign, publish or status");
         };
     }
 
-    private static Path file(List<String> words) throws UsageException {
-        if (words.size() != 2) {
+    private static Path bundleFile(List<String> arguments) throws UsageException {
+        if (arguments.size() != 2) {
             throw new UsageException("expected one bundle FILE");
         }
-        return Path.of(words.get(1));
+        return Path.of(arguments.get(1));
     }
 
-    private static String need(CommandLine line, String option) throws UsageException {
+    private static String requiredOption(CommandLine line, String option) throws UsageException {
         if (!line.hasOption(option)) {
             throw new UsageException("--" + option + " is required");
         }
@@ -87,17 +98,17 @@
     }
 
     private ExitCode create(CommandLine line) throws Exception {
-        String body = Files.readString(Path.of(need(line, "body")));
+        String body = Files.readString(Path.of(requiredOption(line, "body")));
         long version;
         try {
-            version = Long.parseLong(need(line, "version"));
+            version = Long.parseLong(requiredOption(line, "version"));
         } catch (NumberFormatException e) {
             throw new UsageException("--version: expected a whole number");
         }
         String parent = line.getOptionValue("parent", "");
         String publication = UUID.randomUUID().toString();
         Bundle bundle = new Bundle(version, parent, publication, body, List.of());
-        System.out.println(Json.MAPPER.writeValueAsString(bundle));
+        System.out.println(MapperHolder.MAPPER.writeValueAsString(bundle));
         return ExitCode.OK;
     }
 
@@ -105,15 +116,15 @@
         KeyPair pair = KeyPairGenerator.getInstance("Ed25519").generateKeyPair();
         Base64.Encoder base64 = Base64.getEncoder();
         Files.writeString(
-                Path.of(need(line, "private-key")),
+                Path.of(requiredOption(line, "private-key")),
                 base64.encodeToString(pair.getPrivate().getEncoded()));
         System.out.println(base64.encodeToString(pair.getPublic().getEncoded()));
         return ExitCode.OK;
     }
 
     private ExitCode sign(CommandLine line, Path file) throws Exception {
-        Bundle bundle = Json.MAPPER.readValue(Files.readString(file), Bundle.class);
-        String keyText = Files.readString(Path.of(need(line, "private-key"))).trim();
+        Bundle bundle = MapperHolder.MAPPER.readValue(Files.readString(file), Bundle.class);
+        String keyText = Files.readString(Path.of(requiredOption(line, "private-key"))).trim();
         byte[] keyBytes = Base64.getDecoder().decode(keyText);
         PrivateKey key =
                 KeyFactory.getInstance("Ed25519")
@@ -123,7 +134,7 @@
         signer.update(bundle.signedText().getBytes(StandardCharsets.UTF_8));
         String value = Base64.getEncoder().encodeToString(signer.sign());
         List<Bundle.Signature> signatures = new ArrayList<>(bundle.signatures());
-        signatures.add(new Bundle.Signature(need(line, "signer"), value));
+        signatures.add(new Bundle.Signature(requiredOption(line, "signer"), value));
         Bundle signed =
                 new Bundle(
                         bundle.version(),
@@ -131,14 +142,14 @@
                         bundle.publication(),
                         bundle.body(),
                         signatures);
-        Files.writeString(file, Json.MAPPER.writeValueAsString(signed));
+        Files.writeString(file, MapperHolder.MAPPER.writeValueAsString(signed));
         return ExitCode.OK;
     }
 
     private static ExitCode publish(CommandLine line, Path file) throws Exception {
-        need(line, "operator");
+        requiredOption(line, "operator");
         HttpResponse<String> response =
-                Client.operate(line, "POST", "/v1/bundles", Files.readString(file));
+                CliHttpClient.sendToOperator(line, "POST", "/v1/bundles", Files.readString(file));
         System.out.println(response.body());
         if (response.statusCode() == OK) {
             return ExitCode.OK;
@@ -147,8 +158,9 @@
     }
 
     private static ExitCode status(CommandLine line) throws Exception {
-        need(line, "operator");
-        HttpResponse<String> response = Client.operate(line, "GET", "/v1/bundles", "");
+        requiredOption(line, "operator");
+        HttpResponse<String> response =
+                CliHttpClient.sendToOperator(line, "GET", "/v1/bundles", "");
         System.out.println(response.body());
         return response.statusCode() == OK ? ExitCode.OK : ExitCode.FAILED;
     }
--- a/app/src/main/java/org/boragegap/app/EmbeddedCell.java
+++ b/app/src/main/java/org/boragegap/app/EmbeddedCell.java
@@ -24,38 +24,38 @@
 import org.boragegap.standin.StoreStandin;
 
 /**
- * Two entry VMs on the users' platform, with stand-ins for its store and targets, in one process.
+ * Two entry VMs on the users' platform, in one process with stand-ins for its store and targets.
  */
 final class EmbeddedCell {
     private static final String HOST = "127.0.0.1";
     private static final int ENTRY_VMS = 2;
     private static final int TARGETS = 6;
 
-    /** Makes ids that differ as those of real targets do; the golden ratio of 32 bits. */
-    private static final int SPREAD = 0x9E3779B9;
+    /** Makes target ids differ as widely as real ones; 2^32 divided by the golden ratio. */
+    private static final int ID_MULTIPLIER = 0x9E3779B9;
 
-    private static final int TASKS = 4;
+    private static final int TASKS_PER_JOB = 4;
 
-    /** Run time of a task, in ms, as the target stand-in takes it. */
+    /** Run time of a task in ms, as the spec that the target stand-in reads. */
     private static final String TASK_MS = "5";
 
     private static final int CONNECTIONS = 4;
     private static final int OK = 200;
 
-    /** Longest wait for one answer, in ms; a job here takes some ten ms. */
-    private static final long ANSWER_WITHIN_MS = 2_000;
+    /** Timeout of one answer, in ms; a job here takes about ten ms. */
+    private static final long ANSWER_TIMEOUT_MS = 2_000;
 
-    /** How often the first job is handed in before giving up; the cell is up after a second. */
-    private static final int TRIES = 100;
+    /** How often the first job is submitted at most; the cell is up after about a second. */
+    private static final int MAX_STARTUP_TRIES = 100;
 
-    /** Pause between two tries, in ms. */
-    private static final long TRY_EVERY_MS = 100;
+    /** Pause between two submissions of the first job, in ms. */
+    private static final long RETRY_INTERVAL_MS = 100;
 
     private final ScheduledExecutorService mTimer = Executors.newScheduledThreadPool(2);
     private final HttpClient mHttp = HttpClient.create(CONNECTIONS);
     private final List<CellTargetStandin> mTargets = new ArrayList<>();
     private final List<CellNode> mNodes = new ArrayList<>();
-    private final List<String> mCallers = new ArrayList<>();
+    private final List<String> mCallerAddresses = new ArrayList<>();
     private final StoreStandin mStore;
     private final int mStorePort;
     private int mNextJob = 1;
@@ -65,20 +65,20 @@
         mStore = StoreStandin.create(HOST, mStorePort, mTimer);
     }
 
-    /** Makes a deployment that isn't started yet; its entry VMs decide on the layout. */
+    /** Creates a deployment that isn't started yet; its entry VMs choose the layout. */
     static EmbeddedCell create() throws IOException {
         return new EmbeddedCell();
     }
 
-    /** Makes a deployment whose layout the store already holds. */
+    /** Creates a deployment whose store already contains a layout. */
     static EmbeddedCell withLayout(CellLayout layout) throws IOException {
         EmbeddedCell cell = new EmbeddedCell();
         cell.mStore.put(Topics.LAYOUT, Topics.CELLS_KEY, layout.text());
         return cell;
     }
 
-    /** Tasks that were started on the targets of a cell of this layout. */
-    Set<String> startedIn(CellLayout layout, int cell) {
+    /** Tasks that were started on the targets that the layout assigns to a cell. */
+    Set<String> startedTasks(CellLayout layout, int cell) {
         Set<String> started = new HashSet<>();
         for (int i = 0; i < TARGETS; i++) {
             if (layout.cellOfTarget(targetId(i)) == cell) {
@@ -89,12 +89,12 @@
     }
 
     private static String targetId(int number) {
-        return String.format("i-%08x", number * SPREAD);
+        return String.format("i-%08x", number * ID_MULTIPLIER);
     }
 
     void start() throws Exception {
         mStore.start();
-        SampleCalls.configure(mStore, 1, "/jobs/");
+        SampleCalls.putConfiguration(mStore, 1, "/jobs/");
         for (int i = 0; i < TARGETS; i++) {
             CellTargetStandin target =
                     CellTargetStandin.create(
@@ -122,14 +122,14 @@
     }
 
     private void startEntryVm(long incarnation) throws Exception {
-        String callers = HOST + ":" + LoopbackPorts.next();
+        String callerAddress = HOST + ":" + LoopbackPorts.next();
         String ini =
                 String.join(
                         "\n",
                         "[vm]",
                         "failure_domain = local",
                         "peer_address = " + HOST + ":" + LoopbackPorts.next(),
-                        "caller_address = " + callers,
+                        "caller_address = " + callerAddress,
                         "operator_address = " + HOST + ":" + LoopbackPorts.next(),
                         "ready_address = " + HOST + ":" + LoopbackPorts.next(),
                         "metrics_address = " + HOST + ":" + LoopbackPorts.next(),
@@ -144,36 +144,36 @@
         CellNode node = CellNode.create(settings, incarnation, CellNode.clock());
         node.start();
         mNodes.add(node);
-        mCallers.add(callers);
+        mCallerAddresses.add(callerAddress);
     }
 
     /**
-     * Hands jobs in at both entry VMs, one after the other.
+     * Submits jobs one after the other, alternately to both entry VMs.
      *
      * @return how many of them were completed
      */
-    int serve(int jobs) throws InterruptedException {
-        awaitFirst();
+    int submitJobs(int jobs) throws InterruptedException {
+        awaitFirstCompletion();
         int completed = 0;
         for (int i = 0; i < jobs; i++) {
-            completed += submit(mCallers.get(i % ENTRY_VMS)) ? 1 : 0;
+            completed += submit(mCallerAddresses.get(i % ENTRY_VMS)) ? 1 : 0;
         }
         return completed;
     }
 
-    private void awaitFirst() throws InterruptedException {
-        for (int i = 0; i < TRIES && !submit(mCallers.get(0)); i++) {
-            TimeUnit.MILLISECONDS.sleep(TRY_EVERY_MS);
+    private void awaitFirstCompletion() throws InterruptedException {
+        for (int i = 0; i < MAX_STARTUP_TRIES && !submit(mCallerAddresses.get(0)); i++) {
+            TimeUnit.MILLISECONDS.sleep(RETRY_INTERVAL_MS);
         }
     }
 
     private boolean submit(String address) throws InterruptedException {
         String path = String.format("/jobs/%016x", mNextJob++);
-        String body = SampleCalls.job(TASKS, TASK_MS);
+        String body = SampleCalls.jobBody(TASKS_PER_JOB, TASK_MS);
         CompletableFuture<HttpResult> answer = new CompletableFuture<>();
-        mHttp.send(HttpCall.post(address, path, body, ANSWER_WITHIN_MS, answer::complete));
+        mHttp.send(HttpCall.post(address, path, body, ANSWER_TIMEOUT_MS, answer::complete));
         try {
-            HttpResult result = answer.get(2 * ANSWER_WITHIN_MS, TimeUnit.MILLISECONDS);
+            HttpResult result = answer.get(2 * ANSWER_TIMEOUT_MS, TimeUnit.MILLISECONDS);
             return result instanceof HttpResult.Response response && response.status() == OK;
         } catch (ExecutionException | TimeoutException e) {
             System.err.println("no answer to " + path + ": " + e);
--- a/app/src/main/java/org/boragegap/app/EmbeddedDeployment.java
+++ b/app/src/main/java/org/boragegap/app/EmbeddedDeployment.java
@@ -19,82 +19,84 @@
 import org.boragegap.standin.TargetStandin;
 import org.boragegap.standin.VmListStandin;
 
-/** Two entry VMs of one failure domain with stand-ins for all else, in this process. */
+/** Entry VMs of one failure domain, in one process with stand-ins for everything else. */
 final class EmbeddedDeployment {
     private static final String HOST = "127.0.0.1";
     private static final String DOMAIN = "local";
     private static final String SERVICE = "catalogue";
     private static final int WORKER_SLOTS = 64;
     private static final long RETENTION_MS = 3_600_000;
-    private static final long READY_WITHIN_MS = 20_000;
-    private static final long READY_CHECK_MS = 20;
+    private static final long READY_TIMEOUT_MS = 20_000;
+    private static final long READY_CHECK_INTERVAL_MS = 20;
     private static final int OK = 200;
 
     private final List<Standin> mStandins = new ArrayList<>();
     private final List<TargetStandin> mTargets = new ArrayList<>();
-    private final List<EntryService> mEntries = new ArrayList<>();
-    private final List<String> mCallers = new ArrayList<>();
-    private final List<String> mOperators = new ArrayList<>();
+    private final List<EntryService> mEntryServices = new ArrayList<>();
+    private final List<String> mCallerAddresses = new ArrayList<>();
+    private final List<String> mOperatorAddresses = new ArrayList<>();
     private final ScheduledExecutorService mTimer = Executors.newScheduledThreadPool(2);
 
-    private final DeploymentShape mShape;
-    private String mMinion = "";
+    private final DeploymentSpec mSpec;
+    private String mMinionAddress = "";
 
-    private EmbeddedDeployment(DeploymentShape shape) throws IOException, EntryException {
-        mShape = shape;
+    private EmbeddedDeployment(DeploymentSpec spec) throws IOException, EntryException {
+        mSpec = spec;
         int logPort = LoopbackPorts.next();
         int listPort = LoopbackPorts.next();
         List<ListedVm> vms = new ArrayList<>();
-        for (int i = 0; i < shape.workers(); i++) {
+        for (int i = 0; i < spec.workers(); i++) {
             int port = LoopbackPorts.next();
-            mTargets.add(TargetStandin.worker(HOST, port, shape.worker(), WORKER_SLOTS, mTimer));
-            vms.add(target(port, VmKind.WORKER, "", shape.worker(), WORKER_SLOTS));
+            mTargets.add(
+                    TargetStandin.worker(HOST, port, spec.workerCapacity(), WORKER_SLOTS, mTimer));
+            vms.add(listedTarget(port, VmKind.WORKER, "", spec.workerCapacity(), WORKER_SLOTS));
         }
-        for (int i = 0; i < shape.minions(); i++) {
+        for (int i = 0; i < spec.minions(); i++) {
             int port = LoopbackPorts.next();
-            mMinion = HOST + ":" + port;
-            mTargets.add(TargetStandin.minion(HOST, port, shape.minionSlots(), mTimer));
-            vms.add(target(port, VmKind.MINION, SERVICE, Resources.NONE, shape.minionSlots()));
+            mMinionAddress = HOST + ":" + port;
+            mTargets.add(TargetStandin.minion(HOST, port, spec.minionSlots(), mTimer));
+            vms.add(listedTarget(port, VmKind.MINION, SERVICE, Resources.NONE, spec.minionSlots()));
         }
-        for (int i = 0; i < shape.entries(); i++) {
-            String peer = HOST + ":" + LoopbackPorts.next();
-            mCallers.add(HOST + ":" + LoopbackPorts.next());
-            mOperators.add(HOST + ":" + LoopbackPorts.next());
-            vms.add(new ListedVm(peer, DOMAIN, VmKind.ENTRY, "", false, Resources.NONE, 0));
-            mEntries.add(
+        for (int i = 0; i < spec.entryVms(); i++) {
+            String peerAddress = HOST + ":" + LoopbackPorts.next();
+            mCallerAddresses.add(HOST + ":" + LoopbackPorts.next());
+            mOperatorAddresses.add(HOST + ":" + LoopbackPorts.next());
+            vms.add(new ListedVm(peerAddress, DOMAIN, VmKind.ENTRY, "", false, Resources.NONE, 0));
+            mEntryServices.add(
                     EntryService.create(
-                            settings(i, peer, logPort, listPort), System.currentTimeMillis()));
+                            settings(i, peerAddress, logPort, listPort),
+                            System.currentTimeMillis()));
         }
         mStandins.add(LogStandin.create(HOST, List.of(logPort), RETENTION_MS));
         mStandins.add(VmListStandin.create(HOST, List.of(listPort), 0, new VmList(vms)));
         mStandins.addAll(mTargets);
     }
 
-    static EmbeddedDeployment create(DeploymentShape shape) throws IOException, EntryException {
-        return new EmbeddedDeployment(shape);
+    static EmbeddedDeployment create(DeploymentSpec spec) throws IOException, EntryException {
+        return new EmbeddedDeployment(spec);
     }
 
-    private static ListedVm target(
+    private static ListedVm listedTarget(
             int port, VmKind kind, String service, Resources capacity, int slots) {
         return new ListedVm(HOST + ":" + port, DOMAIN, kind, service, false, capacity, slots);
     }
 
-    private Settings settings(int entry, String peer, int logPort, int listPort) {
+    private Settings settings(int entry, String peerAddress, int logPort, int listPort) {
         String text =
                 String.join(
                         "\n",
                         "[vm]",
                         "failure_domain = " + DOMAIN,
-                        "peer_address = " + peer,
-                        "caller_address = " + mCallers.get(entry),
-                        "operator_address = " + mOperators.get(entry),
+                        "peer_address = " + peerAddress,
+                        "caller_address = " + mCallerAddresses.get(entry),
+                        "operator_address = " + mOperatorAddresses.get(entry),
                         "[deployment]",
                         "failure_domains = " + DOMAIN,
                         "[platform]",
                         "log = " + HOST + ":" + logPort,
                         "vm_list = " + HOST + ":" + listPort,
                         "log_poll_ms = 100",
-                        mShape.settings(),
+                        mSpec.extraSettings(),
                         "");
         return ((Settings.ReadResult.Valid) Settings.parse("quickstart", text)).settings();
     }
@@ -103,57 +105,59 @@
         for (Standin standin : mStandins) {
             standin.start();
         }
-        for (EntryService entry : mEntries) {
+        for (EntryService entry : mEntryServices) {
             entry.start();
         }
-        for (String operator : mOperators) {
-            awaitReady(operator);
+        for (String operatorAddress : mOperatorAddresses) {
+            awaitReady(operatorAddress);
         }
     }
 
-    private static void awaitReady(String operator) throws IOException, InterruptedException {
-        long untilMs = System.currentTimeMillis() + READY_WITHIN_MS;
+    private static void awaitReady(String operatorAddress)
+            throws IOException, InterruptedException {
+        long untilMs = System.currentTimeMillis() + READY_TIMEOUT_MS;
         while (System.currentTimeMillis() < untilMs) {
-            HttpResponse<String> response = Client.send(operator, "GET", "/readyz", "", "");
+            HttpResponse<String> response =
+                    CliHttpClient.send(operatorAddress, "GET", "/readyz", "", "");
             if (response.statusCode() == OK) {
                 return;
             }
-            Thread.sleep(READY_CHECK_MS);
+            Thread.sleep(READY_CHECK_INTERVAL_MS);
         }
-        throw new IOException("entry VM at " + operator + " did not get ready");
+        throw new IOException("entry VM at " + operatorAddress + " did not get ready");
     }
 
     void stop() {
-        mEntries.forEach(EntryService::stop);
+        mEntryServices.forEach(EntryService::stop);
         mStandins.forEach(Standin::stop);
         mTimer.shutdownNow();
     }
 
-    /** Stops one entry VM at once, as a crash would. */
+    /** Stops one entry VM without draining it, to simulate a crash. */
     void stopEntry(int number) {
-        mEntries.get(number).stop();
+        mEntryServices.get(number).stop();
     }
 
     List<String> callerAddresses() {
-        return mCallers;
+        return mCallerAddresses;
     }
 
     List<String> operatorAddresses() {
-        return mOperators;
+        return mOperatorAddresses;
     }
 
     List<TargetStandin> targets() {
         return mTargets;
     }
 
-    /** Address of the first minion. */
+    /** Address of the last minion. */
     String minionAddress() {
-        return mMinion;
+        return mMinionAddress;
     }
 
     String sampleCurl() {
         return "curl -s http://"
-                + mCallers.get(0)
+                + mCallerAddresses.get(0)
                 + "/v1/services/"
                 + SERVICE
                 + "/requests -d '{\"team\":\"registrar\",\"kind\":\"seat-check\","
--- a/app/src/main/java/org/boragegap/app/LoadPlan.java
+++ b/app/src/main/java/org/boragegap/app/LoadPlan.java
@@ -5,30 +5,33 @@
 import java.util.SplittableRandom;
 
 /**
- * Seeded arrivals of jobs: 1 to 360 tasks of 50 ms to a second, with a tail of several seconds, in
- * bursts, with declared sizes and run times that are far off.
+ * Pseudo-random arrivals of jobs, reproducible by their seed.
+ *
+ * <p>A job has 1 to 360 tasks, with run times from 40 ms to half a second and a tail of 1 to 4
+ * seconds. A share of the jobs arrives in bursts, and the declared sizes and run times are
+ * inaccurate.
  */
 final class LoadPlan {
     private static final String[] TEAMS = {"students", "advisors", "registrar", "counter"};
     private static final String[] KINDS = {"seat-check", "clash-check", "audit", "pipe-check"};
-    private static final int[] KIND_MS = {80, 150, 300, 200};
-    private static final int MOST_TASKS = 360;
-    private static final double BURST_EVERY_MS = 4_000;
+    private static final int[] TYPICAL_RUN_MS = {80, 150, 300, 200};
+    private static final int MAX_TASKS = 360;
+    private static final double BURST_INTERVAL_MS = 4_000;
     private static final double BURST_SHARE = 0.25;
     private static final long TIMEOUT_MS = 20_000;
     private static final double OVERHEAD_MS = 2;
 
     /**
-     * One job.
+     * A job of the plan.
      *
-     * @param atMs when it is due
-     * @param team on whose behalf
+     * @param arrivalMs when it is to be submitted, in ms from the start of the run
+     * @param team team that submits it
      * @param body request body
-     * @param workMs run time of all its tasks
-     * @param idealMs response time on an idle deployment: the longest task, or all of them spread
-     *     over all cores, and the round trip
+     * @param totalRunMs sum of the run times of its tasks
+     * @param idealMs response time on an idle deployment: the longer of its longest task and all
+     *     its tasks spread over all cores, plus the round trip
      */
-    record Job(long atMs, String team, String body, long workMs, double idealMs) {}
+    record Job(long arrivalMs, String team, String body, long totalRunMs, double idealMs) {}
 
     private final List<Job> mJobs;
 
@@ -40,44 +43,46 @@
         return mJobs;
     }
 
-    /** Plans jobs whose work is a share of what the cores can do, each task taking one core. */
+    /** Plans jobs whose total run time is a share of the capacity; each task uses one core. */
     static LoadPlan create(long seed, int loadPercent, int seconds, int cores) {
         SplittableRandom random = new SplittableRandom(seed);
         double budgetMs = loadPercent / 100.0 * cores * seconds * 1_000.0;
         List<Job> jobs = new ArrayList<>();
         double plannedMs = 0;
         while (plannedMs < budgetMs) {
-            Job job = job(random, arrival(random, seconds * 1_000.0), cores);
-            plannedMs += job.workMs();
+            Job job = randomJob(random, randomArrivalMs(random, seconds * 1_000.0), cores);
+            plannedMs += job.totalRunMs();
             jobs.add(job);
         }
-        jobs.sort((one, other) -> Long.compare(one.atMs(), other.atMs()));
+        jobs.sort((first, second) -> Long.compare(first.arrivalMs(), second.arrivalMs()));
         return new LoadPlan(jobs);
     }
 
-    /** Anywhere in the run, or close behind one of the moments at which bursts begin. */
-    private static long arrival(SplittableRandom random, double lengthMs) {
-        double at = random.nextDouble() * lengthMs;
+    /** A time anywhere in the run, or within 300 ms after the start of a burst. */
+    private static long randomArrivalMs(SplittableRandom random, double durationMs) {
+        double arrivalMs = random.nextDouble() * durationMs;
         if (random.nextDouble() < BURST_SHARE) {
-            at = Math.floor(at / BURST_EVERY_MS) * BURST_EVERY_MS + random.nextDouble() * 300;
+            arrivalMs =
+                    Math.floor(arrivalMs / BURST_INTERVAL_MS) * BURST_INTERVAL_MS
+                            + random.nextDouble() * 300;
         }
-        return (long) at;
+        return (long) arrivalMs;
     }
 
-    private static Job job(SplittableRandom random, long atMs, int cores) {
+    private static Job randomJob(SplittableRandom random, long arrivalMs, int cores) {
         int kind = random.nextInt(KINDS.length);
-        int tasks = (int) Math.pow(MOST_TASKS, Math.pow(random.nextDouble(), 3));
+        int tasks = (int) Math.pow(MAX_TASKS, Math.pow(random.nextDouble(), 3));
         String team = TEAMS[Math.min(TEAMS.length - 1, random.nextInt(6))];
-        StringBuilder list = new StringBuilder();
-        long workMs = 0;
+        StringBuilder taskList = new StringBuilder();
+        long totalRunMs = 0;
         long longestMs = 0;
         for (int i = 0; i < tasks; i++) {
-            long runMs = runMs(random, kind);
-            workMs += runMs;
+            long runMs = randomRunMs(random, kind);
+            totalRunMs += runMs;
             longestMs = Math.max(longestMs, runMs);
-            list.append(i == 0 ? "" : ",").append(task(random, kind, runMs));
+            taskList.append(i == 0 ? "" : ",").append(taskJson(random, kind, runMs));
         }
-        double idealMs = Math.max(longestMs, (double) workMs / cores) + OVERHEAD_MS;
+        double idealMs = Math.max(longestMs, (double) totalRunMs / cores) + OVERHEAD_MS;
         String body =
                 "{\"team\":\""
                         + team
@@ -86,25 +91,28 @@
                         + "\",\"timeoutMs\":"
                         + TIMEOUT_MS
                         + ",\"tasks\":["
-                        + list
+                        + taskList
                         + "]}";
-        return new Job(atMs, team, body, workMs, idealMs);
+        return new Job(arrivalMs, team, body, totalRunMs, idealMs);
     }
 
-    private static long runMs(SplittableRandom random, int kind) {
+    private static long randomRunMs(SplittableRandom random, int kind) {
         if (random.nextInt(200) == 0) {
             return 1_000 + random.nextInt(3_000);
         }
-        return KIND_MS[kind] / 2 + random.nextInt(KIND_MS[kind]);
+        return TYPICAL_RUN_MS[kind] / 2 + random.nextInt(TYPICAL_RUN_MS[kind]);
     }
 
-    /** Every task uses one core; what it declares is between a third and three times that. */
-    private static String task(SplittableRandom random, int kind, long runMs) {
-        double off = Math.pow(3, random.nextDouble() * 2 - 1);
+    /**
+     * A task that uses one core. It declares a third to three times this CPU, and a third to three
+     * times the typical run time of its kind.
+     */
+    private static String taskJson(SplittableRandom random, int kind, long runMs) {
+        double factor = Math.pow(3, random.nextDouble() * 2 - 1);
         return "{\"cpuMillis\":"
-                + (int) (1_000 * off)
+                + (int) (1_000 * factor)
                 + ",\"memoryMb\":64,\"expectedMs\":"
-                + (int) (KIND_MS[kind] * off)
+                + (int) (TYPICAL_RUN_MS[kind] * factor)
                 + ",\"payload\":\"{\\\"runMs\\\":"
                 + runMs
                 + ",\\\"result\\\":\\\"r\\\",\\\"cpuMillis\\\":1000}\"}";
--- a/app/src/main/java/org/boragegap/app/LogSetup.java
+++ b/app/src/main/java/org/boragegap/app/LogSetup.java
@@ -11,74 +11,74 @@
 import org.apache.logging.log4j.core.config.LoggerConfig;
 
 /**
- * Where log lines go: to the console, behind a bounded buffer that never blocks and drops lines
- * when it is full. Set up here and not by a file: reading one, with the plugins that it may name,
- * makes a start slower.
+ * Log configuration: lines go to the console through a bounded buffer, which drops lines when it is
+ * full instead of blocking the logging thread. It is built in code, since reading a file and
+ * loading the plugins that it may name would slow down the start.
  */
 final class LogSetup extends AbstractConfiguration {
-    /** Lines that may wait to be written. */
-    private static final int MOST_WAITING = 4_096;
+    /** Capacity of the buffer, in lines. */
+    private static final int MAX_BUFFERED_LINES = 4_096;
 
-    /** How long lines that wait are written when the process ends, in ms. */
-    private static final long WRITE_OUT_MS = 500;
+    /** How long buffered lines are written at the end of the process, in ms. */
+    private static final long SHUTDOWN_TIMEOUT_MS = 500;
 
     private static final String CONSOLE = "console";
     private static final String BOUNDED = "bounded";
     private static final String HTTP_LIBRARY = "org.glassfish.grizzly";
 
     private final ConsoleAppender.Target mTarget;
-    private final JsonLines mLines = new JsonLines();
+    private final JsonLines mLayout = new JsonLines();
 
     private LogSetup(ConsoleAppender.Target target) {
         super(null, ConfigurationSource.NULL_SOURCE);
         mTarget = target;
     }
 
-    /** Log lines of a command go to standard error; its results go to standard output. */
-    static void ofCommand() {
+    /** Sends log lines to standard error, since a command prints results to standard output. */
+    static void forCommand() {
         Configurator.initialize(new LogSetup(ConsoleAppender.Target.SYSTEM_ERR));
     }
 
-    /** Log lines of an entry process go to standard output. */
-    static LogSetup ofProcess() {
+    /** Sends the log lines of an entry process to standard output. */
+    static LogSetup forEntryProcess() {
         LogSetup setup = new LogSetup(ConsoleAppender.Target.SYSTEM_OUT);
         Configurator.initialize(setup);
         return setup;
     }
 
-    /** Sets the fields that stand in each line from now on. */
-    void describe(Map<String, String> process) {
-        mLines.describe(process);
+    /** Sets the process fields that are written in each line from now on. */
+    void setProcessFields(Map<String, String> process) {
+        mLayout.setProcessFields(process);
     }
 
-    /** Names no plugin, so none is looked for. */
+    /** Builds the appenders directly, so that no plugins are looked up. */
     @Override
     public void initialize() {
-        ConsoleAppender console =
+        ConsoleAppender consoleAppender =
                 ConsoleAppender.newBuilder()
                         .setName(CONSOLE)
                         .setTarget(mTarget)
-                        .setLayout(mLines)
-                        // Lines that wait together are written by one call.
+                        .setLayout(mLayout)
+                        // Buffered lines are written together in one call.
                         .setImmediateFlush(false)
                         .build();
-        console.start();
-        addAppender(console);
-        AppenderRef toConsole = AppenderRef.createAppenderRef(CONSOLE, null, null);
-        AsyncAppender bounded =
+        consoleAppender.start();
+        addAppender(consoleAppender);
+        AppenderRef consoleRef = AppenderRef.createAppenderRef(CONSOLE, null, null);
+        AsyncAppender asyncAppender =
                 AsyncAppender.newBuilder()
                         .setName(BOUNDED)
                         .setConfiguration(this)
-                        .setAppenderRefs(new AppenderRef[] {toConsole})
-                        .setBufferSize(MOST_WAITING)
+                        .setAppenderRefs(new AppenderRef[] {consoleRef})
+                        .setBufferSize(MAX_BUFFERED_LINES)
                         .setBlocking(false)
-                        .setShutdownTimeout(WRITE_OUT_MS)
+                        .setShutdownTimeout(SHUTDOWN_TIMEOUT_MS)
                         .build();
-        bounded.start();
-        addAppender(bounded);
+        asyncAppender.start();
+        addAppender(asyncAppender);
         LoggerConfig root = getRootLogger();
         root.setLevel(Level.INFO);
-        root.addAppender(bounded, null, null);
+        root.addAppender(asyncAppender, null, null);
         addLogger(HTTP_LIBRARY, new LoggerConfig(HTTP_LIBRARY, Level.WARN, true));
         setState(State.INITIALIZED);
     }
--- a/app/src/main/java/org/boragegap/app/OperateCommand.java
+++ b/app/src/main/java/org/boragegap/app/OperateCommand.java
@@ -5,7 +5,7 @@
 import org.apache.commons.cli.Option;
 import org.apache.commons.cli.Options;
 
-/** Sends one request to an entry VM's operator port and prints the reply. */
+/** Sends one request to an entry VM's operator port and prints the response. */
 final class OperateCommand implements Command {
     private static final int FIRST_ERROR_STATUS = 300;
 
@@ -57,7 +57,7 @@
 
     @Override
     public ExitCode run(CommandLine line) throws Exception {
-        HttpResponse<String> response = Client.operate(line, mMethod, mPath, "");
+        HttpResponse<String> response = CliHttpClient.sendToOperator(line, mMethod, mPath, "");
         System.out.println(response.body());
         return response.statusCode() < FIRST_ERROR_STATUS ? ExitCode.OK : ExitCode.FAILED;
     }
--- a/app/src/main/java/org/boragegap/app/Progress.java
+++ b/app/src/main/java/org/boragegap/app/Progress.java
@@ -4,50 +4,50 @@
 import java.util.function.LongSupplier;
 
 /**
- * Shows how far a run is: on a terminal one line that is written over, elsewhere a line each, at
- * most every second, so that a log stays readable.
+ * Prints the progress of a run. On a terminal it overwrites one line; elsewhere it prints separate
+ * lines, at most one per second, so that a log stays readable.
  */
 final class Progress {
-    private static final long EVERY_MS = 1_000;
+    private static final long MIN_INTERVAL_MS = 1_000;
 
-    private final int mAll;
+    private final int mTotal;
     private final boolean mTerminal;
     private final PrintStream mOut;
     private final LongSupplier mNowMs;
-    private long mToldMs;
+    private long mLastPrintedMs;
 
-    private Progress(int all, boolean terminal, PrintStream out, LongSupplier nowMs) {
-        mAll = all;
+    private Progress(int total, boolean terminal, PrintStream out, LongSupplier nowMs) {
+        mTotal = total;
         mTerminal = terminal;
         mOut = out;
         mNowMs = nowMs;
-        mToldMs = nowMs.getAsLong();
+        mLastPrintedMs = nowMs.getAsLong();
     }
 
     /**
-     * Makes a display.
+     * Creates a progress display.
      *
-     * @param all how many answers are awaited
-     * @param terminal true when a person watches
-     * @param out where to
+     * @param total number of expected answers
+     * @param terminal true if {@code out} is a terminal
+     * @param out where to print
      * @param nowMs monotonic clock, in ms
      */
-    static Progress create(int all, boolean terminal, PrintStream out, LongSupplier nowMs) {
-        return new Progress(all, terminal, out, nowMs);
+    static Progress create(int total, boolean terminal, PrintStream out, LongSupplier nowMs) {
+        return new Progress(total, terminal, out, nowMs);
     }
 
-    /** Tells that so many answers have come; each number is told once, in any order. */
-    synchronized void done(int done) {
+    /** Reports how many answers have arrived; each count is reported once, in any order. */
+    synchronized void update(int done) {
         if (mTerminal) {
-            mOut.printf("\r%d of %d answered", done, mAll);
-            mOut.print(done == mAll ? System.lineSeparator() : "");
+            mOut.printf("\r%d of %d answered", done, mTotal);
+            mOut.print(done == mTotal ? System.lineSeparator() : "");
             mOut.flush();
             return;
         }
         long nowMs = mNowMs.getAsLong();
-        if (done == mAll || nowMs - mToldMs >= EVERY_MS) {
-            mToldMs = nowMs;
-            mOut.printf("%d of %d answered%n", done, mAll);
+        if (done == mTotal || nowMs - mLastPrintedMs >= MIN_INTERVAL_MS) {
+            mLastPrintedMs = nowMs;
+            mOut.printf("%d of %d answered%n", done, mTotal);
         }
     }
 }
--- a/standin/src/main/java/org/boragegap/standin/CellTargetStandin.java
+++ b/standin/src/main/java/org/boragegap/standin/CellTargetStandin.java
@@ -16,36 +16,36 @@
 import org.boragegap.platform.PlatformJson;
 
 /**
- * Stands in for a target of the users' platform: leases, fencing, run numbers, ends.
+ * Stand-in for a target of the users' platform, with leases, fencing, run numbers and ended runs.
  *
- * <p>It starts what it is told to, whether it fits or not. A spec that is a number is the run time
- * in ms.
+ * <p>It starts every run that it is ordered to, without checking its capacity. A spec that is a
+ * number is the run time in ms.
  */
 public final class CellTargetStandin implements Standin {
-    private static final int MOST_BODY_BYTES = 1024 * 1024;
+    private static final int MAX_BODY_BYTES = 1024 * 1024;
     private static final int OK = 200;
     private static final int BAD_REQUEST = 400;
     private static final int CONFLICT = 409;
     private static final int OTHER_INCARNATION = 421;
-    private static final long LEASE_MOST_MS = 1_000;
-    private static final long STEP_MS = 5;
+    private static final long MAX_LEASE_MS = 1_000;
+    private static final long TICK_INTERVAL_MS = 5;
     private static final long CLOCK_OFFSET_MS = 480_000;
 
     /** How orders are answered. */
-    public enum Answers {
-        /** At once. */
+    public enum AnswerMode {
+        /** Carried out and answered at once. */
         PROMPT,
-        /** Carried out, and not answered. */
+        /** Carried out at once but not answered. */
         LOST,
-        /** Not answered, and carried out after two seconds. */
+        /** Carried out after two seconds and not answered. */
         LATE
     }
 
     private record Run(int number, long endsMs) {}
 
-    private record Ended(long number, String task, int run, String how) {}
+    private record EndedRun(long cursor, String task, int run, String cause) {}
 
-    private record Held(IncomingRequest in, long untilMs) {}
+    private record HeldCall(IncomingRequest request, long untilMs) {}
 
     private final String mId;
     private final String mAddress;
@@ -54,15 +54,15 @@
     private final StoreStandin mStore;
     private final ScheduledExecutorService mTimer;
     private final Map<String, Run> mRunning = new HashMap<>();
-    private final Map<String, Integer> mSeenRuns = new HashMap<>();
+    private final Map<String, Integer> mHighestRuns = new HashMap<>();
     private final Map<String, Integer> mStarts = new HashMap<>();
-    private final List<Ended> mEnded = new ArrayList<>();
-    private final List<Held> mHeld = new ArrayList<>();
+    private final List<EndedRun> mEnded = new ArrayList<>();
+    private final List<HeldCall> mHeldCalls = new ArrayList<>();
     private long mFence;
-    private long mLeaseMs;
-    private long mNextEnd = 1;
-    private int mMostRunning;
-    private Answers mAnswers = Answers.PROMPT;
+    private long mLeaseEndMs;
+    private long mNextCursor = 1;
+    private int mMaxRunning;
+    private AnswerMode mAnswerMode = AnswerMode.PROMPT;
 
     private CellTargetStandin(
             String id,
@@ -74,12 +74,12 @@
         mId = id;
         mAddress = host + ":" + port;
         mService = service;
-        mEndpoint = HttpEndpoint.create(id, host, port, MOST_BODY_BYTES, this::handle);
+        mEndpoint = HttpEndpoint.create(id, host, port, MAX_BODY_BYTES, this::handle);
         mStore = store;
         mTimer = timer;
     }
 
-    /** Makes a target that registers itself in the store. */
+    /** Creates a target that registers itself in the store. */
     public static CellTargetStandin create(
             String id,
             String host,
@@ -94,7 +94,8 @@
     public void start() throws IOException {
         mEndpoint.start();
         register("ready");
-        mTimer.scheduleAtFixedRate(this::step, STEP_MS, STEP_MS, TimeUnit.MILLISECONDS);
+        mTimer.scheduleAtFixedRate(
+                this::tick, TICK_INTERVAL_MS, TICK_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
     @Override
@@ -102,7 +103,7 @@
         mEndpoint.stop();
     }
 
-    /** Reports in the store that it leaves soon. */
+    /** Records in the store that this target is draining. */
     public void drain() {
         register("draining");
     }
@@ -122,68 +123,68 @@
         mStore.put("keyed.servers", mId, entry.toString());
     }
 
-    /** Changes how orders are answered from now on. */
-    public synchronized void answers(Answers answers) {
-        mAnswers = answers;
+    /** Sets how orders are answered from now on. */
+    public synchronized void answerMode(AnswerMode answerMode) {
+        mAnswerMode = answerMode;
     }
 
-    /** How often each task was started here. */
+    /** How often each task was started on this target. */
     public synchronized Map<String, Integer> starts() {
         return Map.copyOf(mStarts);
     }
 
-    /** Most runs that were at work at one moment. */
-    public synchronized int mostRunning() {
-        return mMostRunning;
+    /** Maximum number of concurrent runs so far. */
+    public synchronized int maxRunning() {
+        return mMaxRunning;
     }
 
     private static long clockMs() {
         return System.nanoTime() / 1_000_000 + CLOCK_OFFSET_MS;
     }
 
-    private void handle(IncomingRequest in) {
-        if (in.header("Expect-Instance").filter(id -> !id.equals(mId)).isPresent()) {
-            in.reply(OTHER_INCARNATION, "{}");
+    private void handle(IncomingRequest request) {
+        if (request.header("Expect-Instance").filter(id -> !id.equals(mId)).isPresent()) {
+            request.reply(OTHER_INCARNATION, "{}");
             return;
         }
         try {
-            JsonNode call = PlatformJson.tree(in.body());
-            if (mode() == Answers.LATE && !in.path().equals("/hold")) {
-                mTimer.schedule(() -> carryOut(in, call), 2, TimeUnit.SECONDS);
+            JsonNode body = PlatformJson.tree(request.body());
+            if (mode() == AnswerMode.LATE && !request.path().equals("/hold")) {
+                mTimer.schedule(() -> execute(request, body), 2, TimeUnit.SECONDS);
             } else {
-                carryOut(in, call);
+                execute(request, body);
             }
         } catch (PlatformException e) {
-            in.reply(BAD_REQUEST, "{}");
+            request.reply(BAD_REQUEST, "{}");
         }
     }
 
-    private synchronized Answers mode() {
-        return mAnswers;
+    private synchronized AnswerMode mode() {
+        return mAnswerMode;
     }
 
-    private synchronized void carryOut(IncomingRequest in, JsonNode call) {
-        if (call.path("Fence").asLong() < mFence) {
-            in.reply(CONFLICT, refusal("fence"));
+    private synchronized void execute(IncomingRequest request, JsonNode body) {
+        if (body.path("Fence").asLong() < mFence) {
+            request.reply(CONFLICT, refusal("fence"));
             return;
         }
-        mFence = call.path("Fence").asLong();
-        switch (in.path()) {
-            case "/hold" -> hold(in, call);
-            case "/run-start" -> answer(in, start(call));
-            case "/run-stop" -> answer(in, stop(call));
-            default -> in.reply(BAD_REQUEST, "{}");
+        mFence = body.path("Fence").asLong();
+        switch (request.path()) {
+            case "/hold" -> hold(request, body);
+            case "/run-start" -> answer(request, start(body));
+            case "/run-stop" -> answer(request, stop(body));
+            default -> request.reply(BAD_REQUEST, "{}");
         }
     }
 
-    /** An empty reason is success. */
-    private void answer(IncomingRequest in, String reason) {
-        if (mAnswers != Answers.PROMPT) {
-            in.drop();
+    /** Answers an order; an empty reason means success. */
+    private void answer(IncomingRequest request, String reason) {
+        if (mAnswerMode != AnswerMode.PROMPT) {
+            request.drop();
         } else if (reason.isEmpty()) {
-            in.reply(OK, "{\"ClockMs\":" + clockMs() + "}");
+            request.reply(OK, "{\"ClockMs\":" + clockMs() + "}");
         } else {
-            in.reply(CONFLICT, refusal(reason));
+            request.reply(CONFLICT, refusal(reason));
         }
     }
 
@@ -191,70 +192,70 @@
         return PlatformJson.object().put("ClockMs", clockMs()).put("Reason", reason).toString();
     }
 
-    private void extendTo(long untilMs) {
-        mLeaseMs = Math.max(mLeaseMs, Math.min(untilMs, clockMs() + LEASE_MOST_MS));
+    private void extendLease(long untilMs) {
+        mLeaseEndMs = Math.max(mLeaseEndMs, Math.min(untilMs, clockMs() + MAX_LEASE_MS));
     }
 
-    private String start(JsonNode call) {
-        String task = call.path("Task").asText();
-        int number = call.path("Run").asInt();
-        if (call.path("UntilMs").asLong() <= clockMs()) {
+    private String start(JsonNode body) {
+        String task = body.path("Task").asText();
+        int number = body.path("Run").asInt();
+        if (body.path("UntilMs").asLong() <= clockMs()) {
             return "late";
         }
-        extendTo(call.path("UntilMs").asLong());
+        extendLease(body.path("UntilMs").asLong());
         Run running = mRunning.get(task);
         if (running != null && running.number() == number) {
             return "";
         }
-        if (number <= mSeenRuns.getOrDefault(task, 0)) {
+        if (number <= mHighestRuns.getOrDefault(task, 0)) {
             return "old";
         }
-        mSeenRuns.put(task, number);
+        mHighestRuns.put(task, number);
         mStarts.merge(task, 1, Integer::sum);
-        mRunning.put(task, new Run(number, clockMs() + call.path("Spec").asLong()));
-        mMostRunning = Math.max(mMostRunning, mRunning.size());
+        mRunning.put(task, new Run(number, clockMs() + body.path("Spec").asLong()));
+        mMaxRunning = Math.max(mMaxRunning, mRunning.size());
         return "";
     }
 
-    private String stop(JsonNode call) {
-        String task = call.path("Task").asText();
-        int number = call.path("Run").asInt();
-        mSeenRuns.merge(task, number, Math::max);
+    private String stop(JsonNode body) {
+        String task = body.path("Task").asText();
+        int number = body.path("Run").asInt();
+        mHighestRuns.merge(task, number, Math::max);
         Run running = mRunning.get(task);
         if (running != null && running.number() == number) {
-            end(task, running, "stopped");
+            endRun(task, running, "stopped");
         }
         return "";
     }
 
-    private void hold(IncomingRequest in, JsonNode call) {
-        extendTo(call.path("UntilMs").asLong());
-        mEnded.removeIf(row -> row.number() <= call.path("AckCursor").asLong());
-        mHeld.add(new Held(in, clockMs() + call.path("WaitMs").asLong()));
-        answerHeld();
+    private void hold(IncomingRequest request, JsonNode body) {
+        extendLease(body.path("UntilMs").asLong());
+        mEnded.removeIf(endedRun -> endedRun.cursor() <= body.path("AckCursor").asLong());
+        mHeldCalls.add(new HeldCall(request, clockMs() + body.path("WaitMs").asLong()));
+        answerHeldCalls();
     }
 
-    private synchronized void step() {
-        boolean lapsed = clockMs() >= mLeaseMs;
+    private synchronized void tick() {
+        boolean leaseExpired = clockMs() >= mLeaseEndMs;
         for (String task : List.copyOf(mRunning.keySet())) {
             Run run = mRunning.get(task);
-            if (lapsed || clockMs() >= run.endsMs()) {
-                end(task, run, lapsed ? "lapsed" : "done");
+            if (leaseExpired || clockMs() >= run.endsMs()) {
+                endRun(task, run, leaseExpired ? "lapsed" : "done");
             }
         }
-        answerHeld();
+        answerHeldCalls();
     }
 
-    private void end(String task, Run run, String how) {
+    private void endRun(String task, Run run, String cause) {
         mRunning.remove(task);
-        mEnded.add(new Ended(mNextEnd++, task, run.number(), how));
+        mEnded.add(new EndedRun(mNextCursor++, task, run.number(), cause));
     }
 
-    private void answerHeld() {
-        for (Held held : List.copyOf(mHeld)) {
-            if (!mEnded.isEmpty() || clockMs() >= held.untilMs()) {
-                mHeld.remove(held);
-                held.in().reply(OK, report());
+    private void answerHeldCalls() {
+        for (HeldCall heldCall : List.copyOf(mHeldCalls)) {
+            if (!mEnded.isEmpty() || clockMs() >= heldCall.untilMs()) {
+                mHeldCalls.remove(heldCall);
+                heldCall.request().reply(OK, report());
             }
         }
     }
@@ -266,12 +267,12 @@
         mRunning.forEach(
                 (task, run) -> running.addArray().add(task).add(run.number()).add("").add(50));
         ArrayNode ended = report.putArray("Ended");
-        for (Ended row : mEnded) {
+        for (EndedRun endedRun : mEnded) {
             ended.addArray()
-                    .add(row.number())
-                    .add(row.task())
-                    .add(row.run())
-                    .add(row.how())
+                    .add(endedRun.cursor())
+                    .add(endedRun.task())
+                    .add(endedRun.run())
+                    .add(endedRun.cause())
                     .add("");
         }
         return report.toString();
