--- a/app/src/test/java/org/boragegap/app/Signers.java
+++ b/app/src/test/java/org/boragegap/app/BundleSigners.java
@@ -10,11 +10,11 @@
 import org.boragegap.core.bundle.Bundle;
 
 /** Two operators with keys of their own, who sign bundles off. */
-final class Signers {
+final class BundleSigners {
     private final KeyPair mReviewer;
     private final KeyPair mApprover;
 
-    Signers() throws Exception {
+    BundleSigners() throws Exception {
         KeyPairGenerator generator = KeyPairGenerator.getInstance("Ed25519");
         mReviewer = generator.generateKeyPair();
         mApprover = generator.generateKeyPair();
@@ -33,7 +33,8 @@
     }
 
     /** A bundle signed by both, as JSON. */
-    String bundle(long version, String parent, String publication, String body) throws Exception {
+    String signedBundle(long version, String parent, String publication, String body)
+            throws Exception {
         Bundle bare = new Bundle(version, parent, publication, body, List.of());
         Bundle.Signature reviewed = new Bundle.Signature("reviewer", sign(mReviewer, bare));
         Bundle.Signature approved = new Bundle.Signature("approver", sign(mApprover, bare));
--- a/app/src/test/java/org/boragegap/app/CellPathTest.java
+++ b/app/src/test/java/org/boragegap/app/CellEndToEndTest.java
@@ -30,10 +30,10 @@
 import org.junit.jupiter.api.Test;
 
 /** The whole path on the users' platform, over real connections, against stand-ins. */
-final class CellPathTest {
+final class CellEndToEndTest {
     private static final String HOST = "127.0.0.1";
-    private static final long PATIENCE_MS = 15_000;
-    private static final Duration ANSWER_WITHIN = Duration.ofSeconds(10);
+    private static final long AWAIT_TIMEOUT_MS = 15_000;
+    private static final Duration ANSWER_TIMEOUT = Duration.ofSeconds(10);
 
     private final ScheduledExecutorService mTimer = Executors.newScheduledThreadPool(2);
     private final HttpClient mClient =
@@ -50,7 +50,7 @@
         mStorePort = LoopbackPorts.next();
         mStore = StoreStandin.create(HOST, mStorePort, mTimer);
         mStore.start();
-        configure(1, "/jobs/");
+        putConfiguration(1, "/jobs/");
         for (int i = 0; i < 2; i++) {
             CellTargetStandin target =
                     CellTargetStandin.create(
@@ -73,7 +73,7 @@
         mTimer.shutdownNow();
     }
 
-    private void configure(int version, String... prefixes) {
+    private void putConfiguration(int version, String... prefixes) {
         SampleCalls.putConfiguration(mStore, version, prefixes);
     }
 
@@ -109,7 +109,7 @@
     }
 
     /** Threads of entry processes that decide or call others, on their own account. */
-    private static long ownThreads() {
+    private static long entryProcessThreads() {
         Set<String> names = Set.of("control", "timer", "http-sweeper");
         return Thread.getAllStackTraces().keySet().stream()
                 .filter(thread -> names.contains(thread.getName()))
@@ -119,20 +119,21 @@
     private record Answer(int status, String body) {}
 
     private Answer submit(int node, String id, int tasks, String spec) {
-        return submitLater(node, "/jobs/" + id, tasks, spec).join();
+        return submitAsync(node, "/jobs/" + id, tasks, spec).join();
     }
 
-    private CompletableFuture<Answer> submitLater(int node, String path, int tasks, String spec) {
+    private CompletableFuture<Answer> submitAsync(int node, String path, int tasks, String spec) {
         String body = SampleCalls.jobBody(tasks, spec);
-        return send(node, path, HttpRequest.BodyPublishers.ofString(body));
+        return postAsync(node, path, HttpRequest.BodyPublishers.ofString(body));
     }
 
-    private CompletableFuture<Answer> send(int node, String path, HttpRequest.BodyPublisher body) {
+    private CompletableFuture<Answer> postAsync(
+            int node, String path, HttpRequest.BodyPublisher body) {
         URI uri = URI.create("http://" + HOST + ":" + mCallerPorts.get(node) + path);
         HttpRequest request =
                 HttpRequest.newBuilder(uri)
                         .header("Deadline-Ms", "5000")
-                        .timeout(ANSWER_WITHIN)
+                        .timeout(ANSWER_TIMEOUT)
                         .POST(body)
                         .build();
         return mClient.sendAsync(request, HttpResponse.BodyHandlers.ofString())
@@ -142,7 +143,7 @@
 
     /** Looks again and again, up to a bound that only a failure reaches. */
     private static void await(BooleanSupplier condition) throws InterruptedException {
-        long untilNanos = System.nanoTime() + PATIENCE_MS * 1_000_000;
+        long untilNanos = System.nanoTime() + AWAIT_TIMEOUT_MS * 1_000_000;
         while (!condition.getAsBoolean()) {
             assertThat(System.nanoTime()).isLessThan(untilNanos);
             Thread.onSpinWait();
@@ -157,7 +158,7 @@
         return starts;
     }
 
-    private int controller() {
+    private int controllerNode() {
         for (int node = 0; node < mNodes.size(); node++) {
             String metrics = get(mMetricsPorts.get(node), "/metrics").body();
             if (metrics.lines().anyMatch(l -> l.matches("boragegap_control_fence [1-9].*"))) {
@@ -179,11 +180,11 @@
     @Nested
     final class Serving {
         @Test
-        void jobsThatComeToAnyEntryVmRunOnceAndAreAnswered() {
+        void jobsSentToAnyEntryVmRunOnceAndAreAnswered() {
             List<CompletableFuture<Answer>> answers = new ArrayList<>();
             for (int job = 0; job < 20; job++) {
                 String path = "/jobs/" + String.format("%016x", job);
-                answers.add(submitLater(job % 2, path, 2, "20"));
+                answers.add(submitAsync(job % 2, path, 2, "20"));
             }
             for (CompletableFuture<Answer> answer : answers) {
                 assertThat(answer.join().body()).isEqualTo("{\"State\":\"completed\"}");
@@ -196,60 +197,60 @@
 
         @Test
         void theSameIdIsTheSameJobAtAnyEntryVm() {
-            CompletableFuture<Answer> first = submitLater(0, "/jobs/00000000000000aa", 1, "300");
-            CompletableFuture<Answer> second = submitLater(1, "/jobs/00000000000000aa", 1, "300");
+            CompletableFuture<Answer> first = submitAsync(0, "/jobs/00000000000000aa", 1, "300");
+            CompletableFuture<Answer> second = submitAsync(1, "/jobs/00000000000000aa", 1, "300");
             assertThat(first.join().status()).isEqualTo(200);
             assertThat(second.join().status()).isEqualTo(200);
             assertThat(starts()).containsEntry("00000000000000aa.0.0.0", 1);
         }
 
         @Test
-        void aQueueThatIsNotConfiguredIsNotFound() {
-            Answer answer = submitLater(0, "/other/00000000000000ab", 1, "5").join();
+        void unconfiguredQueueIsNotFound() {
+            Answer answer = submitAsync(0, "/other/00000000000000ab", 1, "5").join();
             assertThat(answer.status()).isEqualTo(404);
         }
 
         @Test
-        void whatIsNotServedYetIsRefusedAtOnceAndSaysSo() {
+        void unsupportedJobIsRefusedWithAReason() {
             HttpRequest.BodyPublisher stored =
                     HttpRequest.BodyPublishers.ofString("{\"Spec\":\"1\",\"Steps\":[]}");
-            Answer answer = send(0, "/jobs/00000000000000ac", stored).join();
+            Answer answer = postAsync(0, "/jobs/00000000000000ac", stored).join();
             assertThat(answer.status()).isEqualTo(503);
             assertThat(answer.body()).contains("not served yet");
         }
 
         @Test
-        void aBodyThatIsNotJsonIsABadRequest() {
+        void invalidJsonIsABadRequest() {
             HttpRequest.BodyPublisher body = HttpRequest.BodyPublishers.ofString("{");
-            assertThat(send(0, "/jobs/00000000000000ad", body).join().status()).isEqualTo(400);
+            assertThat(postAsync(0, "/jobs/00000000000000ad", body).join().status()).isEqualTo(400);
         }
 
         @Test
-        void aNewConfigurationIsInForceAtAllEntryVms() throws Exception {
-            configure(2, "/jobs/", "/new/");
-            await(() -> submitLater(0, "/new/00000000000000ae", 1, "5").join().status() == 200);
-            await(() -> submitLater(1, "/new/00000000000000af", 1, "5").join().status() == 200);
+        void newConfigurationTakesEffectAtAllEntryVms() throws Exception {
+            putConfiguration(2, "/jobs/", "/new/");
+            await(() -> submitAsync(0, "/new/00000000000000ae", 1, "5").join().status() == 200);
+            await(() -> submitAsync(1, "/new/00000000000000af", 1, "5").join().status() == 200);
         }
     }
 
     @Nested
-    final class Failing {
+    final class Failures {
         /**
          * A caller waits for a job; the VM that controls the cell dies. The caller gets its answer
          * all the same, and the task that was at work is not started again beside itself: the next
          * controller finds it in the target's report.
          */
         @Test
-        void aLostControllerLosesNoWaitingCaller() throws Exception {
-            await(() -> controller() >= 0);
-            int lost = controller();
+        void waitingCallerIsAnsweredAfterControllerFailover() throws Exception {
+            await(() -> controllerNode() >= 0);
+            int lost = controllerNode();
             int other = 1 - lost;
             CompletableFuture<Answer> answer =
-                    submitLater(other, "/jobs/00000000000000ba", 1, "1500");
+                    submitAsync(other, "/jobs/00000000000000ba", 1, "1500");
             await(() -> starts().containsKey("00000000000000ba.0.0.0"));
             mNodes.get(lost).stop();
             assertThat(answer.join().body()).isEqualTo("{\"State\":\"completed\"}");
-            await(() -> controller() == other);
+            await(() -> controllerNode() == other);
             assertThat(submit(other, "00000000000000bb", 1, "5").status()).isEqualTo(200);
         }
 
@@ -258,7 +259,7 @@
          * answer, and no target is over its room: the controller asks before it starts elsewhere.
          */
         @Test
-        void lostAnswersStartNothingTwiceAtATime() throws Exception {
+        void lostAnswersStartNoTaskTwiceAtOnce() throws Exception {
             mTargets.forEach(target -> target.answerMode(CellTargetStandin.AnswerMode.LOST));
             Answer answer = submit(0, "00000000000000ca", 2, "100");
             assertThat(answer.status()).isEqualTo(200);
@@ -267,7 +268,7 @@
 
         /** A target reports that it leaves. Nothing more starts there; the other one serves. */
         @Test
-        void aLeavingTargetGetsNoMoreWork() throws Exception {
+        void leavingTargetStartsNoNewTasks() throws Exception {
             mTargets.get(0).drain();
             mStore.put("keyed.op", "marker", "{}");
             CellTargetStandin leaving = mTargets.get(0);
@@ -289,7 +290,7 @@
          * Jobs that need not be stored go on: nobody else can be given the cell meanwhile.
          */
         @Test
-        void jobsGoOnWhileTheStoreIsAway() throws Exception {
+        void jobsAreServedDuringAStoreOutage() throws Exception {
             mStore.down(true);
             long untilNanos = System.nanoTime() + 3_000_000_000L;
             int served = 0;
@@ -309,20 +310,20 @@
          * VM could have been dealt a cell that no caller reaches.
          */
         @Test
-        void aStartThatFailsLeavesNothingRunning() throws Exception {
-            long before = ownThreads();
+        void failedStartLeavesNoThreadsRunning() throws Exception {
+            long before = entryProcessThreads();
             CellNode node = newNode(LoopbackPorts.next(), mMetricsPorts.get(0));
             assertThrows(IOException.class, node::start);
-            await(() -> ownThreads() <= before);
+            await(() -> entryProcessThreads() <= before);
         }
 
         /** The store forgets its history; a configuration that comes after it is in force. */
         @Test
-        void aForgottenHistoryIsReadAnew() throws Exception {
+        void configurationIsReadAfterCompaction() throws Exception {
             mStore.compact("keyed.op");
-            configure(3, "/jobs/", "/after/");
+            putConfiguration(3, "/jobs/", "/after/");
             mStore.compact("keyed.op");
-            await(() -> submitLater(0, "/after/00000000000000ea", 1, "5").join().status() == 200);
+            await(() -> submitAsync(0, "/after/00000000000000ea", 1, "5").join().status() == 200);
         }
     }
 }
--- a/app/src/test/java/org/boragegap/app/EmbeddedCellTest.java
+++ b/app/src/test/java/org/boragegap/app/EmbeddedCellTest.java
@@ -12,7 +12,7 @@
 
     /** A new deployment: its entry VMs write the layout themselves, and serve. */
     @Test
-    void aDeploymentWithoutALayoutDecidesOnOne() throws Exception {
+    void entryVmsCreateAMissingLayout() throws Exception {
         EmbeddedCell deployment = EmbeddedCell.create();
         deployment.start();
         assertThat(deployment.submitJobs(JOBS)).isEqualTo(JOBS);
@@ -24,7 +24,7 @@
      * alone. A target that both controllers took for theirs would be filled twice.
      */
     @Test
-    void jobsOfTwoCellsRunOnTheirOwnTargets() throws Exception {
+    void jobsRunOnlyOnTargetsOfTheirCell() throws Exception {
         CellLayout layout = CellLayout.ofCells(2);
         EmbeddedCell deployment = EmbeddedCell.withLayout(layout);
         deployment.start();
--- a/app/src/test/java/org/boragegap/app/WholePathTest.java
+++ b/app/src/test/java/org/boragegap/app/EndToEndTest.java
@@ -17,40 +17,42 @@
 import org.junit.jupiter.api.Test;
 
 /** The whole path over loopback sockets: three failure domains with two entry VMs in each. */
-final class WholePathTest {
+final class EndToEndTest {
     private static final int DOMAINS = 3;
-    private static final int THREADS = 24;
+    private static final int CALLER_THREADS = 24;
     private static ProcessDeployment sDeployment;
-    private static ExecutorService sCallers;
+    private static ExecutorService sCallerPool;
 
     @BeforeAll
     static void start() throws Exception {
         sDeployment = new ProcessDeployment(DOMAINS, 2, 2, "");
-        sCallers = Executors.newFixedThreadPool(THREADS);
+        sCallerPool = Executors.newFixedThreadPool(CALLER_THREADS);
     }
 
     @AfterAll
     static void stop() throws Exception {
-        sCallers.shutdownNow();
+        sCallerPool.shutdownNow();
         sDeployment.stop();
     }
 
-    private static String caller(int number) {
-        List<ProcessDeployment.Entry> entries = sDeployment.entries();
-        return entries.get(Math.floorMod(number, entries.size())).mCaller;
+    private static String callerAddress(int number) {
+        List<ProcessDeployment.EntryProcess> entries = sDeployment.entryProcesses();
+        return entries.get(Math.floorMod(number, entries.size())).mCallerAddress;
     }
 
     @Nested
     final class Jobs {
         @Test
-        void aLargeJobIsAnsweredWholeAndEveryTaskStartsOnce() throws Exception {
-            String id = Bodies.id();
+        void largeJobIsAnsweredInFullAndEveryTaskStartsOnce() throws Exception {
+            String id = RequestBodies.newId();
             HttpResponse<String> response =
                     ProcessDeployment.post(
-                            caller(1), "/v1/jobs", Bodies.job(id, "big", 360, 50, 30_000));
+                            callerAddress(1),
+                            "/v1/jobs",
+                            RequestBodies.job(id, "big", 360, 50, 30_000));
 
             assertWithMessage(response.body()).that(response.statusCode()).isEqualTo(200);
-            JsonNode results = ProcessDeployment.json(response).path("results");
+            JsonNode results = ProcessDeployment.parseJson(response).path("results");
             assertThat(results.size()).isEqualTo(360);
             Map<String, Integer> starts = sDeployment.starts();
             for (int i = 0; i < results.size(); i++) {
@@ -65,19 +67,21 @@
          * started a second time: the copies meet at the one VM that holds the claim.
          */
         @Test
-        void copiesSentEverywhereAreOneSubmission() throws Exception {
-            String id = Bodies.id();
-            String body = Bodies.job(id, "copied", 12, 200, 30_000);
+        void duplicatesSentToAllEntryVmsAreOneSubmission() throws Exception {
+            String id = RequestBodies.newId();
+            String body = RequestBodies.job(id, "copied", 12, 200, 30_000);
             List<Future<HttpResponse<String>>> copies = new ArrayList<>();
-            for (int i = 0; i < 2 * sDeployment.entries().size(); i++) {
-                String address = caller(i);
+            for (int i = 0; i < 2 * sDeployment.entryProcesses().size(); i++) {
+                String address = callerAddress(i);
                 copies.add(
-                        sCallers.submit(() -> ProcessDeployment.post(address, "/v1/jobs", body)));
+                        sCallerPool.submit(
+                                () -> ProcessDeployment.post(address, "/v1/jobs", body)));
             }
             for (Future<HttpResponse<String>> copy : copies) {
                 HttpResponse<String> response = copy.get();
                 assertWithMessage(response.body()).that(response.statusCode()).isEqualTo(200);
-                assertThat(ProcessDeployment.json(response).path("results").size()).isEqualTo(12);
+                assertThat(ProcessDeployment.parseJson(response).path("results").size())
+                        .isEqualTo(12);
             }
             Map<String, Integer> starts = sDeployment.starts();
             for (int i = 0; i < 12; i++) {
@@ -87,12 +91,13 @@
 
         @Test
         void theSameIdWithAnotherBodyIsAConflict() throws Exception {
-            String id = Bodies.id();
-            String first = Bodies.job(id, "first", 1, 10, 30_000);
-            String second = Bodies.job(id, "second", 1, 10, 30_000);
-            assertThat(ProcessDeployment.post(caller(0), "/v1/jobs", first).statusCode())
+            String id = RequestBodies.newId();
+            String first = RequestBodies.job(id, "first", 1, 10, 30_000);
+            String second = RequestBodies.job(id, "second", 1, 10, 30_000);
+            assertThat(ProcessDeployment.post(callerAddress(0), "/v1/jobs", first).statusCode())
                     .isEqualTo(200);
-            HttpResponse<String> response = ProcessDeployment.post(caller(3), "/v1/jobs", second);
+            HttpResponse<String> response =
+                    ProcessDeployment.post(callerAddress(3), "/v1/jobs", second);
 
             assertWithMessage(response.body()).that(response.statusCode()).isEqualTo(409);
             assertThat(sDeployment.starts()).containsEntry(id + "/0", 1);
@@ -100,17 +105,18 @@
 
         @Test
         void anAsynchronousJobIsFoundThroughAnyEntryVm() throws Exception {
-            String body = Bodies.job("x", "later", 2, 50, 30_000);
+            String body = RequestBodies.job("x", "later", 2, 50, 30_000);
             String async = body.replace("\"id\":\"x\",", "\"async\":true,");
-            HttpResponse<String> accepted = ProcessDeployment.post(caller(0), "/v1/jobs", async);
+            HttpResponse<String> accepted =
+                    ProcessDeployment.post(callerAddress(0), "/v1/jobs", async);
             assertWithMessage(accepted.body()).that(accepted.statusCode()).isEqualTo(202);
             String path = accepted.headers().firstValue("Location").orElseThrow();
 
             sDeployment.await(
                     "answer of " + path,
                     () -> {
-                        HttpResponse<String> state = ProcessDeployment.get(caller(5), path);
-                        return ProcessDeployment.json(state).path("results").size() == 2;
+                        HttpResponse<String> state = ProcessDeployment.get(callerAddress(5), path);
+                        return ProcessDeployment.parseJson(state).path("results").size() == 2;
                     });
         }
     }
@@ -122,12 +128,12 @@
             List<String> ids = new ArrayList<>();
             List<Future<HttpResponse<String>>> answers = new ArrayList<>();
             for (int i = 0; i < 100; i++) {
-                String address = caller(i);
-                String id = Bodies.id();
-                String body = Bodies.request(id, "seat-" + i, i % 2 == 0, 20, 30_000);
+                String address = callerAddress(i);
+                String id = RequestBodies.newId();
+                String body = RequestBodies.request(id, "seat-" + i, i % 2 == 0, 20, 30_000);
                 ids.add(id);
                 answers.add(
-                        sCallers.submit(
+                        sCallerPool.submit(
                                 () ->
                                         ProcessDeployment.post(
                                                 address, "/v1/services/catalogue/requests", body)));
@@ -135,7 +141,7 @@
             for (int i = 0; i < answers.size(); i++) {
                 HttpResponse<String> response = answers.get(i).get();
                 assertWithMessage(response.body()).that(response.statusCode()).isEqualTo(200);
-                assertThat(ProcessDeployment.json(response).path("result").asText())
+                assertThat(ProcessDeployment.parseJson(response).path("result").asText())
                         .isEqualTo("seat-" + i);
             }
             Map<String, Integer> starts = sDeployment.starts();
--- a/app/src/test/java/org/boragegap/app/JsonLinesTest.java
+++ b/app/src/test/java/org/boragegap/app/JsonLinesTest.java
@@ -14,9 +14,9 @@
 
 /** What a log line looks like to those who read it by a program. */
 final class JsonLinesTest {
-    private final JsonLines mLines = new JsonLines();
+    private final JsonLines mLayout = new JsonLines();
 
-    private JsonNode line(Message message, Throwable thrown, long ms) throws Exception {
+    private JsonNode parsedLine(Message message, Throwable thrown, long ms) throws Exception {
         Log4jLogEvent event =
                 Log4jLogEvent.newBuilder()
                         .setLoggerName("decision")
@@ -26,19 +26,19 @@
                         .setThrown(thrown)
                         .setTimeMillis(ms)
                         .build();
-        String text = mLines.toSerializable(event);
+        String text = mLayout.toSerializable(event);
         assertThat(text).endsWith("\n");
         assertThat(text.trim()).doesNotContain("\n");
         return new ObjectMapper().readTree(text);
     }
 
     @Test
-    void aDecisionStandsWithItsFields() throws Exception {
-        mLines.setProcessFields(Map.of("vm", "10.1.0.13:7720"));
+    void decisionIsWrittenWithItsFields() throws Exception {
+        mLayout.setProcessFields(Map.of("vm", "10.1.0.13:7720"));
         StringMapMessage message = new StringMapMessage();
         message.put("what", "refuse");
         message.put("inputs", "reason=\"none\"\n");
-        JsonNode line = line(message, null, 0);
+        JsonNode line = parsedLine(message, null, 0);
         assertThat(line.path("message").path("what").asText()).isEqualTo("refuse");
         assertThat(line.path("message").path("inputs").asText()).isEqualTo("reason=\"none\"\n");
         assertThat(line.path("vm").asText()).isEqualTo("10.1.0.13:7720");
@@ -46,23 +46,26 @@
     }
 
     @Test
-    void aTextStandsAsText() throws Exception {
-        JsonNode line = line(new SimpleMessage("draining"), null, 0);
+    void textMessageIsWrittenAsText() throws Exception {
+        JsonNode line = parsedLine(new SimpleMessage("draining"), null, 0);
         assertThat(line.path("message").path("text").asText()).isEqualTo("draining");
         assertThat(line.has("exception")).isFalse();
     }
 
     @Test
-    void anExceptionStandsWithItsStack() throws Exception {
-        JsonNode line = line(new SimpleMessage("bad"), new IllegalStateException("why"), 0);
+    void exceptionIsWrittenAsStackTrace() throws Exception {
+        JsonNode line = parsedLine(new SimpleMessage("bad"), new IllegalStateException("why"), 0);
         assertThat(line.path("exception").asText()).contains("IllegalStateException: why");
     }
 
     @Test
     void timesAreInUtcWithMilliseconds() throws Exception {
-        assertThat(line(new SimpleMessage(""), null, 1).path("time").asText())
+        assertThat(parsedLine(new SimpleMessage(""), null, 1).path("time").asText())
                 .isEqualTo("1970-01-01T00:00:00.001Z");
-        assertThat(line(new SimpleMessage(""), null, 1_796_280_003_007L).path("time").asText())
+        assertThat(
+                        parsedLine(new SimpleMessage(""), null, 1_796_280_003_007L)
+                                .path("time")
+                                .asText())
                 .isEqualTo("2026-12-03T06:40:03.007Z");
     }
 }
--- a/app/src/test/java/org/boragegap/app/ProcessDeployment.java
+++ b/app/src/test/java/org/boragegap/app/ProcessDeployment.java
@@ -30,58 +30,60 @@
  */
 final class ProcessDeployment {
     private static final String HOST = "127.0.0.1";
-    private static final Resources WORKER = new Resources(64_000, 65_536, 0);
+    private static final Resources WORKER_CAPACITY = new Resources(64_000, 65_536, 0);
     private static final int WORKER_SLOTS = 64;
     private static final int MINION_SLOTS = 8;
-    private static final long PATIENCE_MS = 30_000;
-    private static final long CHECK_MS = 20;
+    private static final long AWAIT_TIMEOUT_MS = 30_000;
+    private static final long POLL_INTERVAL_MS = 20;
     private static final ObjectMapper sMapper = new ObjectMapper();
 
     /** One entry VM. */
-    static final class Entry {
+    static final class EntryProcess {
         final int mDomain;
-        final String mPeer;
-        final String mCaller;
-        final String mOperator;
-        final Path mSettings;
+        final String mPeerAddress;
+        final String mCallerAddress;
+        final String mOperatorAddress;
+        final Path mSettingsFile;
         Process mProcess;
 
-        Entry(int domain, Path settings) throws IOException {
+        EntryProcess(int domain, Path settings) throws IOException {
             mDomain = domain;
-            mPeer = address();
-            mCaller = address();
-            mOperator = address();
-            mSettings = settings;
+            mPeerAddress = newAddress();
+            mCallerAddress = newAddress();
+            mOperatorAddress = newAddress();
+            mSettingsFile = settings;
         }
     }
 
-    private final Path mFolder;
-    private final int mDomains;
+    private final Path mDirectory;
+    private final int mDomainCount;
     private final List<Process> mStandins = new ArrayList<>();
-    private final List<Entry> mEntries = new ArrayList<>();
+    private final List<EntryProcess> mEntryProcesses = new ArrayList<>();
     private final List<Integer> mLogPorts = new ArrayList<>();
-    private final List<Integer> mListPorts = new ArrayList<>();
+    private final List<Integer> mVmListPorts = new ArrayList<>();
     private final List<Integer> mWorkerPorts = new ArrayList<>();
     private final List<Integer> mMinionPorts = new ArrayList<>();
-    private final String mMoreSettings;
+    private final String mExtraSettings;
 
     ProcessDeployment(int domains, int entriesEach, int targetsEach, String moreSettings)
             throws Exception {
-        mFolder = Files.createTempDirectory("boragegap");
-        mDomains = domains;
-        mMoreSettings = moreSettings;
+        mDirectory = Files.createTempDirectory("boragegap");
+        mDomainCount = domains;
+        mExtraSettings = moreSettings;
         List<ListedVm> vms = new ArrayList<>();
         for (int domain = 0; domain < domains; domain++) {
             mLogPorts.add(LoopbackPorts.next());
-            mListPorts.add(LoopbackPorts.next());
+            mVmListPorts.add(LoopbackPorts.next());
             for (int i = 0; i < targetsEach; i++) {
                 int worker = LoopbackPorts.next();
                 int minion = LoopbackPorts.next();
                 mWorkerPorts.add(worker);
                 mMinionPorts.add(minion);
-                vms.add(target(worker, domain, VmKind.WORKER, "", WORKER, WORKER_SLOTS));
                 vms.add(
-                        target(
+                        listedTarget(
+                                worker, domain, VmKind.WORKER, "", WORKER_CAPACITY, WORKER_SLOTS));
+                vms.add(
+                        listedTarget(
                                 minion,
                                 domain,
                                 VmKind.MINION,
@@ -90,13 +92,13 @@
                                 MINION_SLOTS));
             }
             for (int i = 0; i < entriesEach; i++) {
-                Path settings = mFolder.resolve("entry-" + domain + "-" + i + ".ini");
-                Entry entry = new Entry(domain, settings);
-                mEntries.add(entry);
+                Path settings = mDirectory.resolve("entry-" + domain + "-" + i + ".ini");
+                EntryProcess entry = new EntryProcess(domain, settings);
+                mEntryProcesses.add(entry);
                 vms.add(
                         new ListedVm(
-                                entry.mPeer,
-                                name(domain),
+                                entry.mPeerAddress,
+                                domainName(domain),
                                 VmKind.ENTRY,
                                 "",
                                 false,
@@ -105,41 +107,42 @@
             }
         }
         try {
-            startAll(vms);
+            startProcesses(vms);
         } catch (Exception | AssertionError e) {
             stop();
             throw e;
         }
     }
 
-    private void startAll(List<ListedVm> vms) throws Exception {
+    private void startProcesses(List<ListedVm> vms) throws Exception {
         startStandins(vms);
-        for (Entry entry : mEntries) {
+        for (EntryProcess entry : mEntryProcesses) {
             start(entry);
         }
-        for (Entry entry : mEntries) {
+        for (EntryProcess entry : mEntryProcesses) {
             awaitReady(entry);
         }
     }
 
-    private static ListedVm target(
+    private static ListedVm listedTarget(
             int port, int domain, VmKind kind, String service, Resources capacity, int slots) {
-        return new ListedVm(HOST + ":" + port, name(domain), kind, service, false, capacity, slots);
+        return new ListedVm(
+                HOST + ":" + port, domainName(domain), kind, service, false, capacity, slots);
     }
 
-    private static String address() throws IOException {
+    private static String newAddress() throws IOException {
         return HOST + ":" + LoopbackPorts.next();
     }
 
-    static String name(int domain) {
+    static String domainName(int domain) {
         return "fd" + domain;
     }
 
     private void startStandins(List<ListedVm> vms) throws Exception {
-        Path list = mFolder.resolve("vms.json");
+        Path list = mDirectory.resolve("vms.json");
         Files.writeString(list, PlatformJson.write(new VmList(vms)));
         startStandin("log", mLogPorts);
-        startStandin("vms", mListPorts, "--lag-ms", "500", "--list", list.toString());
+        startStandin("vms", mVmListPorts, "--lag-ms", "500", "--list", list.toString());
         startStandin("worker", mWorkerPorts, "--cpu-millis", "64000", "--memory-mb", "65536");
         startStandin("minion", mMinionPorts);
     }
@@ -147,7 +150,7 @@
     private void startStandin(String kind, List<Integer> ports, String... more) throws Exception {
         List<String> arguments = new ArrayList<>(List.of("standin", kind, "--ports", join(ports)));
         arguments.addAll(List.of(more));
-        Process process = run(arguments, "standin-" + kind);
+        Process process = launch(arguments, "standin-" + kind);
         mStandins.add(process);
         BufferedReader lines = new BufferedReader(new InputStreamReader(process.getInputStream()));
         if (!"ready".equals(lines.readLine())) {
@@ -159,53 +162,55 @@
         return ports.stream().map(String::valueOf).collect(Collectors.joining(","));
     }
 
-    private Process run(List<String> arguments, String name) throws IOException {
+    private Process launch(List<String> arguments, String name) throws IOException {
         List<String> command = new ArrayList<>();
         command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
         command.addAll(List.of("-Xmx96m", "-XX:TieredStopAtLevel=1", "-XX:+UseSerialGC"));
         command.addAll(List.of("-cp", System.getProperty("java.class.path")));
         command.add("org.boragegap.app.Main");
         command.addAll(arguments);
-        File log = mFolder.resolve(name + ".log").toFile();
+        File log = mDirectory.resolve(name + ".log").toFile();
         return new ProcessBuilder(command)
                 .redirectError(ProcessBuilder.Redirect.appendTo(log))
                 .start();
     }
 
     /** Starts an entry process, or a new one at the same address. */
-    void start(Entry entry) throws IOException {
+    void start(EntryProcess entry) throws IOException {
         List<String> domains = new ArrayList<>();
-        for (int domain = 0; domain < mDomains; domain++) {
-            domains.add(name(domain));
+        for (int domain = 0; domain < mDomainCount; domain++) {
+            domains.add(domainName(domain));
         }
         String text =
                 String.join(
                         "\n",
                         "[vm]",
-                        "failure_domain = " + name(entry.mDomain),
-                        "peer_address = " + entry.mPeer,
-                        "caller_address = " + entry.mCaller,
-                        "operator_address = " + entry.mOperator,
+                        "failure_domain = " + domainName(entry.mDomain),
+                        "peer_address = " + entry.mPeerAddress,
+                        "caller_address = " + entry.mCallerAddress,
+                        "operator_address = " + entry.mOperatorAddress,
                         "[deployment]",
                         "failure_domains = " + String.join(",", domains),
                         "[platform]",
                         "log = " + HOST + ":" + mLogPorts.get(entry.mDomain),
-                        "vm_list = " + HOST + ":" + mListPorts.get(entry.mDomain),
+                        "vm_list = " + HOST + ":" + mVmListPorts.get(entry.mDomain),
                         "log_poll_ms = 100",
-                        mMoreSettings,
+                        mExtraSettings,
                         "");
-        Files.writeString(entry.mSettings, text);
-        String name = entry.mSettings.getFileName().toString();
-        entry.mProcess = run(List.of("serve", "-c", entry.mSettings.toString()), name);
+        Files.writeString(entry.mSettingsFile, text);
+        String name = entry.mSettingsFile.getFileName().toString();
+        entry.mProcess = launch(List.of("serve", "-c", entry.mSettingsFile.toString()), name);
     }
 
-    void awaitReady(Entry entry) throws Exception {
-        await("ready " + entry.mCaller, () -> get(entry.mOperator, "/readyz").statusCode() == 200);
+    void awaitReady(EntryProcess entry) throws Exception {
+        await(
+                "ready " + entry.mCallerAddress,
+                () -> get(entry.mOperatorAddress, "/readyz").statusCode() == 200);
     }
 
     /** Waits until a condition holds; an I/O error counts as not yet. */
     void await(String what, Callable<Boolean> condition) throws Exception {
-        long untilNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(PATIENCE_MS);
+        long untilNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(AWAIT_TIMEOUT_MS);
         while (System.nanoTime() < untilNs) {
             try {
                 if (condition.call()) {
@@ -214,15 +219,16 @@
             } catch (IOException e) {
                 // Not up yet, or down on purpose.
             }
-            TimeUnit.MILLISECONDS.sleep(CHECK_MS);
+            TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MS);
         }
-        throw new AssertionError("not within " + PATIENCE_MS + " ms: " + what + logs());
+        throw new AssertionError(
+                "not within " + AWAIT_TIMEOUT_MS + " ms: " + what + lastLogLines());
     }
 
     /** The last lines that the processes logged, for a failing test. */
-    String logs() throws IOException {
+    String lastLogLines() throws IOException {
         StringBuilder text = new StringBuilder();
-        try (var files = Files.list(mFolder)) {
+        try (var files = Files.list(mDirectory)) {
             for (Path file : files.filter(path -> path.toString().endsWith(".log")).toList()) {
                 List<String> lines = Files.readAllLines(file);
                 List<String> last = lines.subList(Math.max(0, lines.size() - 5), lines.size());
@@ -233,12 +239,12 @@
         return text.toString();
     }
 
-    List<Entry> entries() {
-        return mEntries;
+    List<EntryProcess> entryProcesses() {
+        return mEntryProcesses;
     }
 
-    List<Entry> entriesOf(int domain) {
-        return mEntries.stream().filter(entry -> entry.mDomain == domain).toList();
+    List<EntryProcess> entryProcessesOf(int domain) {
+        return mEntryProcesses.stream().filter(entry -> entry.mDomain == domain).toList();
     }
 
     static HttpResponse<String> get(String address, String path) throws Exception {
@@ -249,16 +255,16 @@
         return CliHttpClient.send(address, "POST", path, body, "");
     }
 
-    static JsonNode json(HttpResponse<String> response) throws IOException {
+    static JsonNode parseJson(HttpResponse<String> response) throws IOException {
         return sMapper.readTree(response.body());
     }
 
-    JsonNode dump(Entry entry) throws Exception {
-        return json(get(entry.mOperator, "/dump"));
+    JsonNode dump(EntryProcess entry) throws Exception {
+        return parseJson(get(entry.mOperatorAddress, "/dump"));
     }
 
     /** Changes how the log behaves for one failure domain. */
-    void log(int domain, String mode) throws Exception {
+    void setLogMode(int domain, String mode) throws Exception {
         post(
                 HOST + ":" + mLogPorts.get(domain),
                 "/control?listener=" + domain + "&mode=" + mode,
@@ -267,23 +273,23 @@
 
     /** How many appends the log has taken. */
     int logAppends() throws Exception {
-        return json(get(HOST + ":" + mLogPorts.get(0), "/stats")).path("appends").asInt();
+        return parseJson(get(HOST + ":" + mLogPorts.get(0), "/stats")).path("appends").asInt();
     }
 
     /** Takes the VM list away from one failure domain, or gives it back. */
-    void list(int domain, boolean down) throws Exception {
+    void setVmListDown(int domain, boolean down) throws Exception {
         post(
-                HOST + ":" + mListPorts.get(domain),
+                HOST + ":" + mVmListPorts.get(domain),
                 "/control?listener=" + domain + "&down=" + down,
                 "");
     }
 
     /** Changes how a minion behaves. */
-    void minion(int index, String mode) throws Exception {
+    void setMinionMode(int index, String mode) throws Exception {
         post(HOST + ":" + mMinionPorts.get(index), "/control?mode=" + mode, "");
     }
 
-    int minions() {
+    int minionCount() {
         return mMinionPorts.size();
     }
 
@@ -302,14 +308,14 @@
     }
 
     /** Sends a signal to an entry process of this deployment. */
-    static void signal(Entry entry, String name) throws Exception {
+    static void sendSignal(EntryProcess entry, String name) throws Exception {
         String pid = Long.toString(entry.mProcess.pid());
         new ProcessBuilder("kill", "-" + name, pid).start().waitFor();
     }
 
     /** Ends all its processes. */
     void stop() throws Exception {
-        for (Entry entry : mEntries) {
+        for (EntryProcess entry : mEntryProcesses) {
             if (entry.mProcess != null) {
                 entry.mProcess.destroyForcibly().waitFor();
             }
@@ -317,11 +323,11 @@
         for (Process process : mStandins) {
             process.destroyForcibly().waitFor();
         }
-        try (var files = Files.list(mFolder)) {
+        try (var files = Files.list(mDirectory)) {
             for (Path file : files.toList()) {
                 Files.delete(file);
             }
         }
-        Files.delete(mFolder);
+        Files.delete(mDirectory);
     }
 }
--- a/app/src/test/java/org/boragegap/app/FailuresTest.java
+++ b/app/src/test/java/org/boragegap/app/ProcessFailureTest.java
@@ -18,34 +18,34 @@
 import org.junit.jupiter.api.Test;
 
 /** Failures of whole processes, over loopback sockets; the targets count what was started. */
-final class FailuresTest {
-    private static final long IN_FORCE_WITHIN_MS = 14_000;
-    private static final String REQUESTS = "/v1/services/catalogue/requests";
-    private static final String BODY = "{\"teams\":{},\"kinds\":{}}";
-    private Signers mSigners;
+final class ProcessFailureTest {
+    private static final long MAX_ACTIVATION_MS = 14_000;
+    private static final String REQUESTS_PATH = "/v1/services/catalogue/requests";
+    private static final String BUNDLE_BODY = "{\"teams\":{},\"kinds\":{}}";
+    private BundleSigners mSigners;
     private ProcessDeployment mDeployment;
-    private ExecutorService mCallers;
+    private ExecutorService mCallerPool;
 
     @BeforeEach
     void start() throws Exception {
-        mSigners = new Signers();
+        mSigners = new BundleSigners();
         mDeployment = new ProcessDeployment(2, 2, 2, mSigners.settings());
-        mCallers = Executors.newFixedThreadPool(32);
+        mCallerPool = Executors.newFixedThreadPool(32);
     }
 
     @AfterEach
     void stop() throws Exception {
-        mCallers.shutdownNow();
+        mCallerPool.shutdownNow();
         mDeployment.stop();
     }
 
-    private ProcessDeployment.Entry entry(int domain, int number) {
-        return mDeployment.entriesOf(domain).get(number);
+    private ProcessDeployment.EntryProcess entryProcess(int domain, int number) {
+        return mDeployment.entryProcessesOf(domain).get(number);
     }
 
     private Future<HttpResponse<String>> submit(
-            ProcessDeployment.Entry entry, String path, String body) {
-        return mCallers.submit(() -> ProcessDeployment.post(entry.mCaller, path, body));
+            ProcessDeployment.EntryProcess entry, String path, String body) {
+        return mCallerPool.submit(() -> ProcessDeployment.post(entry.mCallerAddress, path, body));
     }
 
     private void awaitStarted(String id) throws Exception {
@@ -66,9 +66,9 @@
         }
     }
 
-    private void awaitMembers(ProcessDeployment.Entry entry, int members) throws Exception {
+    private void awaitMembers(ProcessDeployment.EntryProcess entry, int members) throws Exception {
         mDeployment.await(
-                members + " members as seen by " + entry.mCaller,
+                members + " members as seen by " + entry.mCallerAddress,
                 () -> mDeployment.dump(entry).at("/view/members").size() == members);
     }
 
@@ -80,28 +80,29 @@
          * have run; nothing is started again. New jobs go on, also after the VM is replaced.
          */
         @Test
-        void whatItHeldEndsInDoubtAndNewWorkGoesOn() throws Exception {
-            awaitMembers(entry(0, 1), 2);
-            String id = Bodies.id(0);
-            String body = Bodies.job(id, "held", 20, 1_500, 20_000);
-            submit(entry(0, 0), "/v1/jobs", body);
+        void runningJobEndsInDoubtAndNewJobsAreServed() throws Exception {
+            awaitMembers(entryProcess(0, 1), 2);
+            String id = RequestBodies.newId(0);
+            String body = RequestBodies.job(id, "held", 20, 1_500, 20_000);
+            submit(entryProcess(0, 0), "/v1/jobs", body);
             awaitStarted(id);
-            ProcessDeployment.signal(entry(0, 0), "KILL");
-            awaitMembers(entry(0, 1), 1);
+            ProcessDeployment.sendSignal(entryProcess(0, 0), "KILL");
+            awaitMembers(entryProcess(0, 1), 1);
 
             long copiedNs = System.nanoTime();
-            HttpResponse<String> copy = submit(entry(0, 1), "/v1/jobs", body).get();
+            HttpResponse<String> copy = submit(entryProcess(0, 1), "/v1/jobs", body).get();
             long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - copiedNs);
             System.out.println("copy of a dead VM's job answered after ms: " + tookMs);
             assertWithMessage(copy.body()).that(copy.statusCode()).isEqualTo(504);
-            assertThat(ProcessDeployment.json(copy).path("outcome").asText())
+            assertThat(ProcessDeployment.parseJson(copy).path("outcome").asText())
                     .isEqualTo("may_have_run");
-            String next = Bodies.job(Bodies.id(0), "next", 4, 20, 20_000);
-            assertThat(submit(entry(0, 1), "/v1/jobs", next).get().statusCode()).isEqualTo(200);
+            String next = RequestBodies.job(RequestBodies.newId(0), "next", 4, 20, 20_000);
+            assertThat(submit(entryProcess(0, 1), "/v1/jobs", next).get().statusCode())
+                    .isEqualTo(200);
 
-            mDeployment.start(entry(0, 0));
-            mDeployment.awaitReady(entry(0, 0));
-            HttpResponse<String> again = submit(entry(0, 0), "/v1/jobs", body).get();
+            mDeployment.start(entryProcess(0, 0));
+            mDeployment.awaitReady(entryProcess(0, 0));
+            HttpResponse<String> again = submit(entryProcess(0, 0), "/v1/jobs", body).get();
             assertWithMessage(again.body()).that(again.statusCode()).isEqualTo(504);
             assertNothingStartedTwice();
         }
@@ -115,21 +116,21 @@
          * job, finds that the view has moved on, and comes back; no task was started twice.
          */
         @Test
-        void itWakesWithoutStartingWhatOthersStarted() throws Exception {
-            awaitMembers(entry(0, 1), 2);
-            String id = Bodies.id(0);
-            String body = Bodies.job(id, "paused", 60, 300, 20_000);
-            Future<HttpResponse<String>> first = submit(entry(0, 0), "/v1/jobs", body);
+        void resumedVmStartsNoTaskTwice() throws Exception {
+            awaitMembers(entryProcess(0, 1), 2);
+            String id = RequestBodies.newId(0);
+            String body = RequestBodies.job(id, "paused", 60, 300, 20_000);
+            Future<HttpResponse<String>> first = submit(entryProcess(0, 0), "/v1/jobs", body);
             awaitStarted(id);
-            ProcessDeployment.signal(entry(0, 0), "STOP");
-            awaitMembers(entry(0, 1), 1);
-            HttpResponse<String> copy = submit(entry(0, 1), "/v1/jobs", body).get();
+            ProcessDeployment.sendSignal(entryProcess(0, 0), "STOP");
+            awaitMembers(entryProcess(0, 1), 1);
+            HttpResponse<String> copy = submit(entryProcess(0, 1), "/v1/jobs", body).get();
             assertWithMessage(copy.body()).that(copy.statusCode()).isEqualTo(504);
-            ProcessDeployment.signal(entry(0, 0), "CONT");
+            ProcessDeployment.sendSignal(entryProcess(0, 0), "CONT");
 
             HttpResponse<String> answer = first.get();
             assertWithMessage(answer.body()).that(answer.statusCode()).isAnyOf(200, 504);
-            awaitMembers(entry(0, 0), 2);
+            awaitMembers(entryProcess(0, 0), 2);
             assertNothingStartedTwice();
         }
     }
@@ -142,26 +143,28 @@
          * takes no callers until the log is back.
          */
         @Test
-        void runningVmsGoOnAndANewOneWaits() throws Exception {
-            awaitMembers(entry(0, 1), 2);
-            mDeployment.log(0, "DOWN");
-            mDeployment.log(1, "DOWN");
+        void runningVmsServeAndARestartedOneIsNotReady() throws Exception {
+            awaitMembers(entryProcess(0, 1), 2);
+            mDeployment.setLogMode(0, "DOWN");
+            mDeployment.setLogMode(1, "DOWN");
             for (int i = 0; i < 10; i++) {
-                String body = Bodies.job(Bodies.id(0), "out-" + i, 2, 10, 20_000);
-                HttpResponse<String> answer = submit(entry(0, i % 2), "/v1/jobs", body).get();
+                String body = RequestBodies.job(RequestBodies.newId(0), "out-" + i, 2, 10, 20_000);
+                HttpResponse<String> answer =
+                        submit(entryProcess(0, i % 2), "/v1/jobs", body).get();
                 assertWithMessage(answer.body()).that(answer.statusCode()).isEqualTo(200);
             }
-            ProcessDeployment.signal(entry(0, 0), "KILL");
-            mDeployment.start(entry(0, 0));
+            ProcessDeployment.sendSignal(entryProcess(0, 0), "KILL");
+            mDeployment.start(entryProcess(0, 0));
             mDeployment.await(
                     "the new VM to be up",
                     () ->
-                            ProcessDeployment.get(entry(0, 0).mOperator, "/readyz").statusCode()
+                            ProcessDeployment.get(entryProcess(0, 0).mOperatorAddress, "/readyz")
+                                            .statusCode()
                                     == 503);
-            mDeployment.log(0, "UP");
-            mDeployment.log(1, "UP");
-            mDeployment.awaitReady(entry(0, 0));
-            awaitMembers(entry(0, 1), 2);
+            mDeployment.setLogMode(0, "UP");
+            mDeployment.setLogMode(1, "UP");
+            mDeployment.awaitReady(entryProcess(0, 0));
+            awaitMembers(entryProcess(0, 1), 2);
             assertNothingStartedTwice();
         }
 
@@ -170,87 +173,90 @@
          * is found by reading, and proposing it again changes nothing.
          */
         @Test
-        void lostRepliesDoNotHoldUpAReplacement() throws Exception {
-            awaitMembers(entry(0, 1), 2);
-            ProcessDeployment.signal(entry(0, 0), "KILL");
-            mDeployment.log(0, "LOSE_REPLIES");
-            mDeployment.start(entry(0, 0));
+        void lostRepliesDoNotBlockAReplacement() throws Exception {
+            awaitMembers(entryProcess(0, 1), 2);
+            ProcessDeployment.sendSignal(entryProcess(0, 0), "KILL");
+            mDeployment.setLogMode(0, "LOSE_REPLIES");
+            mDeployment.start(entryProcess(0, 0));
             int before = mDeployment.logAppends();
             mDeployment.await("an append without a reply", () -> mDeployment.logAppends() > before);
-            mDeployment.log(0, "UP");
-            mDeployment.awaitReady(entry(0, 0));
-            awaitMembers(entry(0, 1), 2);
+            mDeployment.setLogMode(0, "UP");
+            mDeployment.awaitReady(entryProcess(0, 0));
+            awaitMembers(entryProcess(0, 1), 2);
         }
     }
 
     @Nested
-    final class CutOffDomain {
+    final class DomainWithoutPlatform {
         /**
          * One failure domain loses the platform: its log and its VM list. It goes on serving all
          * that comes to it, and it gets a bundle that is published elsewhere from its peers.
          */
         @Test
-        void itServesAllAndStillGetsTheBundle() throws Exception {
-            awaitMembers(entry(0, 1), 2);
-            mDeployment.log(0, "DOWN");
-            mDeployment.list(0, true);
+        void domainServesAllRequestsAndReceivesTheBundle() throws Exception {
+            awaitMembers(entryProcess(0, 1), 2);
+            mDeployment.setLogMode(0, "DOWN");
+            mDeployment.setVmListDown(0, true);
             List<Future<HttpResponse<String>>> answers = new ArrayList<>();
             for (int i = 0; i < 40; i++) {
-                String body = Bodies.request(Bodies.id(0), "r" + i, false, 20, 20_000);
-                answers.add(submit(entry(0, i % 2), REQUESTS, body));
+                String body =
+                        RequestBodies.request(RequestBodies.newId(0), "r" + i, false, 20, 20_000);
+                answers.add(submit(entryProcess(0, i % 2), REQUESTS_PATH, body));
             }
             for (Future<HttpResponse<String>> answer : answers) {
                 assertThat(answer.get().statusCode()).isEqualTo(200);
             }
             long publishedMs = System.currentTimeMillis();
-            HttpResponse<String> published = publish(entry(1, 0), 1, "", "p1");
+            HttpResponse<String> published = publish(entryProcess(1, 0), 1, "", "p1");
             assertWithMessage(published.body()).that(published.statusCode()).isEqualTo(200);
             mDeployment.await(
                     "the bundle in the domain that is cut off",
-                    () -> bundleVersion(entry(0, 0)) == 1 && bundleVersion(entry(0, 1)) == 1);
-            for (ProcessDeployment.Entry entry : mDeployment.entries()) {
+                    () ->
+                            bundleVersion(entryProcess(0, 0)) == 1
+                                    && bundleVersion(entryProcess(0, 1)) == 1);
+            for (ProcessDeployment.EntryProcess entry : mDeployment.entryProcesses()) {
                 long sinceMs = mDeployment.dump(entry).path("bundleSinceMs").asLong();
                 System.out.println("in force after ms: " + (sinceMs - publishedMs));
-                assertThat(sinceMs - publishedMs).isLessThan(IN_FORCE_WITHIN_MS);
+                assertThat(sinceMs - publishedMs).isLessThan(MAX_ACTIVATION_MS);
             }
             assertNothingStartedTwice();
         }
     }
 
-    private long bundleVersion(ProcessDeployment.Entry entry) throws Exception {
+    private long bundleVersion(ProcessDeployment.EntryProcess entry) throws Exception {
         return mDeployment.dump(entry).path("bundleVersion").asLong();
     }
 
     private HttpResponse<String> publish(
-            ProcessDeployment.Entry entry, long version, String parent, String publication)
+            ProcessDeployment.EntryProcess entry, long version, String parent, String publication)
             throws Exception {
-        String bundle = mSigners.bundle(version, parent, publication, BODY);
-        return ProcessDeployment.post(entry.mOperator, "/v1/bundles", bundle);
+        String bundle = mSigners.signedBundle(version, parent, publication, BUNDLE_BODY);
+        return ProcessDeployment.post(entry.mOperatorAddress, "/v1/bundles", bundle);
     }
 
     @Nested
-    final class RacingOperators {
+    final class ConcurrentPublications {
         /**
          * Two operators publish different bundles on the same parent through different failure
          * domains at once. One is accepted and in force everywhere, the other operator is told of
          * the conflict. An old bundle that is sent again changes nothing.
          */
         @Test
-        void oneIsInForceEverywhereAndTheOtherIsToldSo() throws Exception {
+        void onePublicationIsAcceptedAndTheOtherConflicts() throws Exception {
             Future<HttpResponse<String>> one =
-                    mCallers.submit(() -> publish(entry(0, 0), 1, "", "one"));
+                    mCallerPool.submit(() -> publish(entryProcess(0, 0), 1, "", "one"));
             Future<HttpResponse<String>> other =
-                    mCallers.submit(() -> publish(entry(1, 0), 1, "", "other"));
+                    mCallerPool.submit(() -> publish(entryProcess(1, 0), 1, "", "other"));
             List<Integer> statuses = List.of(one.get().statusCode(), other.get().statusCode());
             assertThat(statuses).containsExactly(200, 409);
 
             String winner = one.get().statusCode() == 200 ? "one" : "other";
-            assertThat(publish(entry(1, 1), 2, winner, "two").statusCode()).isEqualTo(200);
-            for (ProcessDeployment.Entry entry : mDeployment.entries()) {
+            assertThat(publish(entryProcess(1, 1), 2, winner, "two").statusCode()).isEqualTo(200);
+            for (ProcessDeployment.EntryProcess entry : mDeployment.entryProcesses()) {
                 mDeployment.await("version 2", () -> bundleVersion(entry) == 2);
             }
-            assertThat(publish(entry(0, 1), 1, "", winner).statusCode()).isEqualTo(200);
-            assertThat(bundleVersion(entry(0, 1))).isEqualTo(2);
+            assertThat(publish(entryProcess(0, 1), 1, "", winner).statusCode()).isEqualTo(200);
+            assertThat(bundleVersion(entryProcess(0, 1))).isEqualTo(2);
         }
 
         /**
@@ -258,12 +264,12 @@
          * it back gives the answer.
          */
         @Test
-        void aLostReplyIsResolvedByReadingBack() throws Exception {
-            mDeployment.log(0, "LOSE_REPLIES");
+        void lostReplyIsResolvedByReadingTheLog() throws Exception {
+            mDeployment.setLogMode(0, "LOSE_REPLIES");
             Future<HttpResponse<String>> published =
-                    mCallers.submit(() -> publish(entry(0, 0), 1, "", "p1"));
-            mDeployment.await("the bundle elsewhere", () -> bundleVersion(entry(1, 0)) == 1);
-            mDeployment.log(0, "UP");
+                    mCallerPool.submit(() -> publish(entryProcess(0, 0), 1, "", "p1"));
+            mDeployment.await("the bundle elsewhere", () -> bundleVersion(entryProcess(1, 0)) == 1);
+            mDeployment.setLogMode(0, "UP");
             assertThat(published.get().statusCode()).isEqualTo(200);
         }
     }
@@ -276,50 +282,50 @@
          * the sibling, and the process ends by itself with code 0.
          */
         @Test
-        void nothingInFlightIsCutOff() throws Exception {
-            awaitMembers(entry(0, 1), 2);
+        void requestsInFlightAreCompleted() throws Exception {
+            awaitMembers(entryProcess(0, 1), 2);
             List<Future<HttpResponse<String>>> answers = new ArrayList<>();
             for (int i = 0; i < 12; i++) {
-                String body = Bodies.job(Bodies.id(0), "d" + i, 4, 700, 20_000);
-                answers.add(submit(entry(0, 0), "/v1/jobs", body));
+                String body = RequestBodies.job(RequestBodies.newId(0), "d" + i, 4, 700, 20_000);
+                answers.add(submit(entryProcess(0, 0), "/v1/jobs", body));
             }
             mDeployment.await(
                     "jobs in flight",
-                    () -> mDeployment.dump(entry(0, 0)).path("runningAttempts").asInt() > 0);
-            ProcessDeployment.signal(entry(0, 0), "TERM");
-            ProcessDeployment.signal(entry(0, 0), "TERM");
+                    () -> mDeployment.dump(entryProcess(0, 0)).path("runningAttempts").asInt() > 0);
+            ProcessDeployment.sendSignal(entryProcess(0, 0), "TERM");
+            ProcessDeployment.sendSignal(entryProcess(0, 0), "TERM");
             for (Future<HttpResponse<String>> answer : answers) {
                 HttpResponse<String> response = answer.get();
                 assertWithMessage(response.body()).that(response.statusCode()).isEqualTo(200);
             }
-            assertThat(entry(0, 0).mProcess.waitFor(20, TimeUnit.SECONDS)).isTrue();
-            assertThat(entry(0, 0).mProcess.exitValue()).isEqualTo(0);
-            awaitMembers(entry(0, 1), 1);
+            assertThat(entryProcess(0, 0).mProcess.waitFor(20, TimeUnit.SECONDS)).isTrue();
+            assertThat(entryProcess(0, 0).mProcess.exitValue()).isEqualTo(0);
+            awaitMembers(entryProcess(0, 1), 1);
             assertNothingStartedTwice();
         }
     }
 
     @Nested
-    final class FrozenMinions {
+    final class UnresponsiveMinions {
         /**
          * Minions take requests and never answer. A meter billing is sent once and ends in doubt at
          * its deadline; a seat check is sent elsewhere and answered.
          */
         @Test
-        void onlyWhatIsIdempotentIsSentAgain() throws Exception {
-            mDeployment.minion(0, "FREEZE");
+        void onlyIdempotentRequestsAreSentAgain() throws Exception {
+            mDeployment.setMinionMode(0, "FREEZE");
             List<String> ids = new ArrayList<>();
             List<Future<HttpResponse<String>>> answers = new ArrayList<>();
             for (int i = 0; i < 16; i++) {
                 boolean idempotent = i % 2 == 0;
-                String id = Bodies.id(0);
+                String id = RequestBodies.newId(0);
                 ids.add(id);
-                String body = Bodies.request(id, "r" + i, idempotent, 20, 4_000);
-                answers.add(submit(entry(0, i / 2 % 2), REQUESTS, body));
+                String body = RequestBodies.request(id, "r" + i, idempotent, 20, 4_000);
+                answers.add(submit(entryProcess(0, i / 2 % 2), REQUESTS_PATH, body));
             }
             for (int i = 0; i < answers.size(); i++) {
                 HttpResponse<String> response = answers.get(i).get();
-                JsonNode json = ProcessDeployment.json(response);
+                JsonNode json = ProcessDeployment.parseJson(response);
                 if (i % 2 == 0) {
                     assertWithMessage(response.body())
                             .that(json.path("result").asText())
--- a/app/src/test/java/org/boragegap/app/ProgressTest.java
+++ b/app/src/test/java/org/boragegap/app/ProgressTest.java
@@ -22,7 +22,7 @@
     }
 
     @Test
-    void pipedItTellsALineASecondAtTheMostAndTheLastOne() {
+    void pipedOutputHasAtMostOneLinePerSecondAndTheLastOne() {
         Progress progress = Progress.create(50, false, mOut, () -> mNowMs);
         for (int done = 1; done <= 50; done++) {
             mNowMs += 50;
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void onATerminalItWritesOverItsLine() {
+    void onATerminalTheLineIsOverwritten() {
         Progress progress = Progress.create(2, true, mOut, () -> mNowMs);
         progress.update(1);
         progress.update(2);
--- a/app/src/test/java/org/boragegap/app/Bodies.java
+++ b/app/src/test/java/org/boragegap/app/RequestBodies.java
@@ -5,8 +5,8 @@
 import java.util.List;
 
 /** Request bodies for tests. */
-final class Bodies {
-    private Bodies() {}
+final class RequestBodies {
+    private RequestBodies() {}
 
     /** A job whose task {@code i} answers {@code prefix/i} after {@code runMs}. */
     static String job(String id, String prefix, int tasks, long runMs, long timeoutMs) {
@@ -47,12 +47,12 @@
     }
 
     /** A new time-ordered id. */
-    static String id() {
+    static String newId() {
         return Generators.timeBasedEpochGenerator().generate().toString();
     }
 
     /** A new id whose home is the given failure domain. */
-    static String id(int domain) {
-        return ProcessDeployment.name(domain) + "~" + id();
+    static String newId(int domain) {
+        return ProcessDeployment.domainName(domain) + "~" + newId();
     }
 }
