--- a/app/src/test/java/org/boragegap/app/BundleSigners.java
+++ b/app/src/test/java/org/boragegap/app/BundleSigners.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import org.boragegap.core.bundle.Bundle;
 
-/** Two operators with keys of their own, who sign bundles off. */
+/** The keys of two operators, a reviewer and an approver, who both sign each bundle. */
 final class BundleSigners {
     private final KeyPair mReviewer;
     private final KeyPair mApprover;
@@ -20,7 +20,7 @@
         mApprover = generator.generateKeyPair();
     }
 
-    /** Settings that name both. */
+    /** Settings that list the public keys of both signers. */
     String settings() {
         return "[bundles]\nsigners = reviewer="
                 + publicKey(mReviewer)
@@ -32,12 +32,12 @@
         return Base64.getEncoder().encodeToString(pair.getPublic().getEncoded());
     }
 
-    /** A bundle signed by both, as JSON. */
+    /** A bundle signed by both operators, as JSON. */
     String signedBundle(long version, String parent, String publication, String body)
             throws Exception {
-        Bundle bare = new Bundle(version, parent, publication, body, List.of());
-        Bundle.Signature reviewed = new Bundle.Signature("reviewer", sign(mReviewer, bare));
-        Bundle.Signature approved = new Bundle.Signature("approver", sign(mApprover, bare));
+        Bundle unsigned = new Bundle(version, parent, publication, body, List.of());
+        Bundle.Signature reviewed = new Bundle.Signature("reviewer", sign(mReviewer, unsigned));
+        Bundle.Signature approved = new Bundle.Signature("approver", sign(mApprover, unsigned));
         return new ObjectMapper()
                 .writeValueAsString(
                         new Bundle(
@@ -45,9 +45,9 @@
     }
 
     private static String sign(KeyPair pair, Bundle bundle) throws Exception {
-        Signature signer = Signature.getInstance("Ed25519");
-        signer.initSign(pair.getPrivate());
-        signer.update(bundle.signedText().getBytes(StandardCharsets.UTF_8));
-        return Base64.getEncoder().encodeToString(signer.sign());
+        Signature signature = Signature.getInstance("Ed25519");
+        signature.initSign(pair.getPrivate());
+        signature.update(bundle.signedText().getBytes(StandardCharsets.UTF_8));
+        return Base64.getEncoder().encodeToString(signature.sign());
     }
 }
--- a/app/src/test/java/org/boragegap/app/CellEndToEndTest.java
+++ b/app/src/test/java/org/boragegap/app/CellEndToEndTest.java
@@ -29,7 +29,10 @@
 import org.junit.jupiter.api.Nested;
 import org.junit.jupiter.api.Test;
 
-/** The whole path on the users' platform, over real connections, against stand-ins. */
+/**
+ * Sends jobs to two entry VMs that share a cell on the users' platform. The entry VMs run in this
+ * process; the store and the targets are stand-ins, reached over real connections.
+ */
 final class CellEndToEndTest {
     private static final String HOST = "127.0.0.1";
     private static final long AWAIT_TIMEOUT_MS = 15_000;
@@ -78,25 +81,25 @@
     }
 
     private void startNode() throws Exception {
-        int callers = LoopbackPorts.next();
-        int metrics = LoopbackPorts.next();
-        CellNode node = newNode(callers, metrics);
+        int callerPort = LoopbackPorts.next();
+        int metricsPort = LoopbackPorts.next();
+        CellNode node = newNode(callerPort, metricsPort);
         node.start();
         mNodes.add(node);
-        mCallerPorts.add(callers);
-        mMetricsPorts.add(metrics);
+        mCallerPorts.add(callerPort);
+        mMetricsPorts.add(metricsPort);
     }
 
-    private CellNode newNode(int callers, int metrics) throws Exception {
+    private CellNode newNode(int callerPort, int metricsPort) throws Exception {
         String ini =
                 String.join(
                         "\n",
                         "[vm]",
                         "failure_domain = a",
                         "peer_address = " + HOST + ":" + LoopbackPorts.next(),
-                        "caller_address = " + HOST + ":" + callers,
+                        "caller_address = " + HOST + ":" + callerPort,
                         "operator_address = " + HOST + ":" + LoopbackPorts.next(),
-                        "metrics_address = " + HOST + ":" + metrics,
+                        "metrics_address = " + HOST + ":" + metricsPort,
                         "[deployment]",
                         "failure_domains = a",
                         "[platform]",
@@ -108,7 +111,7 @@
         return CellNode.create(settings, mNodes.size() + 1, CellNode.clock());
     }
 
-    /** Threads of entry processes that decide or call others, on their own account. */
+    /** Number of live threads that entry processes start for decisions, timers and calls. */
     private static long entryProcessThreads() {
         Set<String> names = Set.of("control", "timer", "http-sweeper");
         return Thread.getAllStackTraces().keySet().stream()
@@ -138,14 +141,14 @@
                         .build();
         return mClient.sendAsync(request, HttpResponse.BodyHandlers.ofString())
                 .thenApply(response -> new Answer(response.statusCode(), response.body()))
-                .exceptionally(lost -> new Answer(0, lost.toString()));
+                .exceptionally(error -> new Answer(0, error.toString()));
     }
 
-    /** Looks again and again, up to a bound that only a failure reaches. */
+    /** Polls a condition until it holds; the timeout is so long that only a failure reaches it. */
     private static void await(BooleanSupplier condition) throws InterruptedException {
-        long untilNanos = System.nanoTime() + AWAIT_TIMEOUT_MS * 1_000_000;
+        long deadlineNanos = System.nanoTime() + AWAIT_TIMEOUT_MS * 1_000_000;
         while (!condition.getAsBoolean()) {
-            assertThat(System.nanoTime()).isLessThan(untilNanos);
+            assertThat(System.nanoTime()).isLessThan(deadlineNanos);
             Thread.onSpinWait();
         }
     }
@@ -161,7 +164,7 @@
     private int controllerNode() {
         for (int node = 0; node < mNodes.size(); node++) {
             String metrics = get(mMetricsPorts.get(node), "/metrics").body();
-            if (metrics.lines().anyMatch(l -> l.matches("boragegap_control_fence [1-9].*"))) {
+            if (metrics.lines().anyMatch(line -> line.matches("boragegap_control_fence [1-9].*"))) {
                 return node;
             }
         }
@@ -173,7 +176,7 @@
         return mClient.sendAsync(
                         HttpRequest.newBuilder(uri).build(), HttpResponse.BodyHandlers.ofString())
                 .thenApply(response -> new Answer(response.statusCode(), response.body()))
-                .exceptionally(lost -> new Answer(0, ""))
+                .exceptionally(error -> new Answer(0, ""))
                 .join();
     }
 
@@ -236,27 +239,28 @@
     @Nested
     final class Failures {
         /**
-         * A caller waits for a job; the VM that controls the cell dies. The caller gets its answer
-         * all the same, and the task that was at work is not started again beside itself: the next
-         * controller finds it in the target's report.
+         * The VM that controls the cell stops while a caller of the other VM waits for a job. The
+         * caller still gets its answer. The next controller finds the running task in the target's
+         * report, so it does not start a second run beside it.
          */
         @Test
         void waitingCallerIsAnsweredAfterControllerFailover() throws Exception {
             await(() -> controllerNode() >= 0);
-            int lost = controllerNode();
-            int other = 1 - lost;
+            int controller = controllerNode();
+            int other = 1 - controller;
             CompletableFuture<Answer> answer =
                     submitAsync(other, "/jobs/00000000000000ba", 1, "1500");
             await(() -> starts().containsKey("00000000000000ba.0.0.0"));
-            mNodes.get(lost).stop();
+            mNodes.get(controller).stop();
             assertThat(answer.join().body()).isEqualTo("{\"State\":\"completed\"}");
             await(() -> controllerNode() == other);
             assertThat(submit(other, "00000000000000bb", 1, "5").status()).isEqualTo(200);
         }
 
         /**
-         * Answers to orders are lost, though the orders were carried out. The caller gets its
-         * answer, and no target is over its room: the controller asks before it starts elsewhere.
+         * Targets carry out orders, but the answers to the orders are lost. The caller gets its
+         * answer, and no target exceeds its capacity: when a start is not answered, the controller
+         * asks the target whether the task runs before it starts the task elsewhere.
          */
         @Test
         void lostAnswersStartNoTaskTwiceAtOnce() throws Exception {
@@ -266,7 +270,9 @@
             mTargets.forEach(target -> assertThat(target.maxRunning()).isAtMost(2));
         }
 
-        /** A target reports that it leaves. Nothing more starts there; the other one serves. */
+        /**
+         * A target reports that it is leaving. It gets no new tasks; the other target runs them.
+         */
         @Test
         void leavingTargetStartsNoNewTasks() throws Exception {
             mTargets.get(0).drain();
@@ -286,28 +292,29 @@
         }
 
         /**
-         * The store is away for all entry VMs, for longer than the group keeps a silent member.
-         * Jobs that need not be stored go on: nobody else can be given the cell meanwhile.
+         * The store is unavailable to all entry VMs, for longer than the group keeps a silent
+         * member. Jobs that need not be stored are still served: while the store is down, it cannot
+         * assign the cell to another VM.
          */
         @Test
         void jobsAreServedDuringAStoreOutage() throws Exception {
             mStore.down(true);
-            long untilNanos = System.nanoTime() + 3_000_000_000L;
+            long endNanos = System.nanoTime() + 3_000_000_000L;
             int served = 0;
-            int asked = 0;
-            while (System.nanoTime() < untilNanos) {
-                asked++;
-                String id = String.format("e%015x", asked);
-                served += submit(asked % 2, id, 1, "20").status() == 200 ? 1 : 0;
+            int submitted = 0;
+            while (System.nanoTime() < endNanos) {
+                submitted++;
+                String id = String.format("e%015x", submitted);
+                served += submit(submitted % 2, id, 1, "20").status() == 200 ? 1 : 0;
             }
             mStore.down(false);
-            assertThat(served).isAtLeast(asked * 9 / 10);
+            assertThat(served).isAtLeast(submitted * 9 / 10);
         }
 
         /**
-         * An address of a process is taken when it starts. The start fails with that error, and
-         * nothing of the process goes on: its clients at the store went on for good once, and this
-         * VM could have been dealt a cell that no caller reaches.
+         * The metrics address of a process is in use when it starts. The start fails with that
+         * error, and none of its threads keeps running. Its store clients once did, for good, so
+         * this VM could have been assigned a cell that no caller reaches.
          */
         @Test
         void failedStartLeavesNoThreadsRunning() throws Exception {
@@ -317,7 +324,10 @@
             await(() -> entryProcessThreads() <= before);
         }
 
-        /** The store forgets its history; a configuration that comes after it is in force. */
+        /**
+         * The store deletes the history of the operators' topic before and after a new
+         * configuration is written. The entry VM still applies the new configuration.
+         */
         @Test
         void configurationIsReadAfterCompaction() throws Exception {
             mStore.compact("keyed.op");
--- a/app/src/test/java/org/boragegap/app/EmbeddedCellTest.java
+++ b/app/src/test/java/org/boragegap/app/EmbeddedCellTest.java
@@ -6,11 +6,11 @@
 import org.boragegap.core.cell.CellLayout;
 import org.junit.jupiter.api.Test;
 
-/** Cells over real connections, against stand-ins, in one process. */
+/** Runs cells in one process, over real connections to stand-ins of the store and the targets. */
 final class EmbeddedCellTest {
     private static final int JOBS = 30;
 
-    /** A new deployment: its entry VMs write the layout themselves, and serve. */
+    /** In a new deployment the store has no layout: the entry VMs write one and serve jobs. */
     @Test
     void entryVmsCreateAMissingLayout() throws Exception {
         EmbeddedCell deployment = EmbeddedCell.create();
@@ -20,8 +20,8 @@
     }
 
     /**
-     * A deployment of two cells: each job is served by the cell of its id, on targets of that cell
-     * alone. A target that both controllers took for theirs would be filled twice.
+     * With two cells, each job is served by the cell that its id belongs to, and only on targets of
+     * that cell. A target that both controllers used would be filled twice.
      */
     @Test
     void jobsRunOnlyOnTargetsOfTheirCell() throws Exception {
--- a/app/src/test/java/org/boragegap/app/EndToEndTest.java
+++ b/app/src/test/java/org/boragegap/app/EndToEndTest.java
@@ -16,7 +16,10 @@
 import org.junit.jupiter.api.Nested;
 import org.junit.jupiter.api.Test;
 
-/** The whole path over loopback sockets: three failure domains with two entry VMs in each. */
+/**
+ * Sends jobs and service requests to a deployment of separate processes over loopback sockets:
+ * three failure domains with two entry VMs in each.
+ */
 final class EndToEndTest {
     private static final int DOMAINS = 3;
     private static final int CALLER_THREADS = 24;
@@ -62,9 +65,9 @@
         }
 
         /**
-         * A client sends its job, hears nothing for a while and sends it again, to every entry VM
-         * of every failure domain at once. Each copy gets the same whole answer, and no task is
-         * started a second time: the copies meet at the one VM that holds the claim.
+         * A client sends its job, gets no answer for a while and sends it again, to every entry VM
+         * of every failure domain at once. Each copy gets the same complete answer, and no task
+         * starts twice, since all copies reach the one VM that holds the claim.
          */
         @Test
         void duplicatesSentToAllEntryVmsAreOneSubmission() throws Exception {
@@ -113,7 +116,7 @@
             String path = accepted.headers().firstValue("Location").orElseThrow();
 
             sDeployment.await(
-                    "answer of " + path,
+                    "the results of " + path,
                     () -> {
                         HttpResponse<String> state = ProcessDeployment.get(callerAddress(5), path);
                         return ProcessDeployment.parseJson(state).path("results").size() == 2;
--- a/app/src/test/java/org/boragegap/app/JsonLinesTest.java
+++ b/app/src/test/java/org/boragegap/app/JsonLinesTest.java
@@ -12,11 +12,11 @@
 import org.apache.logging.log4j.message.StringMapMessage;
 import org.junit.jupiter.api.Test;
 
-/** What a log line looks like to those who read it by a program. */
+/** Checks the JSON format of log lines, which programs read. */
 final class JsonLinesTest {
     private final JsonLines mLayout = new JsonLines();
 
-    private JsonNode parsedLine(Message message, Throwable thrown, long ms) throws Exception {
+    private JsonNode parsedLine(Message message, Throwable thrown, long timeMs) throws Exception {
         Log4jLogEvent event =
                 Log4jLogEvent.newBuilder()
                         .setLoggerName("decision")
@@ -24,12 +24,12 @@
                         .setThreadName("control")
                         .setMessage(message)
                         .setThrown(thrown)
-                        .setTimeMillis(ms)
+                        .setTimeMillis(timeMs)
                         .build();
-        String text = mLayout.toSerializable(event);
-        assertThat(text).endsWith("\n");
-        assertThat(text.trim()).doesNotContain("\n");
-        return new ObjectMapper().readTree(text);
+        String json = mLayout.toSerializable(event);
+        assertThat(json).endsWith("\n");
+        assertThat(json.trim()).doesNotContain("\n");
+        return new ObjectMapper().readTree(json);
     }
 
     @Test
--- a/app/src/test/java/org/boragegap/app/ProcessDeployment.java
+++ b/app/src/test/java/org/boragegap/app/ProcessDeployment.java
@@ -25,8 +25,9 @@
 import org.boragegap.standin.LoopbackPorts;
 
 /**
- * A deployment of separate processes on loopback: entry VMs, and stand-ins for all else. Each
- * failure domain reaches the log and the VM list through listeners of its own.
+ * Starts a deployment of separate processes on loopback addresses: entry VMs, and stand-ins for the
+ * log, the VM list, workers and minions. Each failure domain reaches the log and the VM list
+ * through its own listeners, so that a test can cut off a single domain.
  */
 final class ProcessDeployment {
     private static final String HOST = "127.0.0.1";
@@ -37,7 +38,7 @@
     private static final long POLL_INTERVAL_MS = 20;
     private static final ObjectMapper sMapper = new ObjectMapper();
 
-    /** One entry VM. */
+    /** The addresses, the settings file and the current process of one entry VM. */
     static final class EntryProcess {
         final int mDomain;
         final String mPeerAddress;
@@ -65,33 +66,39 @@
     private final List<Integer> mMinionPorts = new ArrayList<>();
     private final String mExtraSettings;
 
-    ProcessDeployment(int domains, int entriesEach, int targetsEach, String moreSettings)
+    ProcessDeployment(
+            int domainCount, int entryVmsPerDomain, int targetsPerDomain, String extraSettings)
             throws Exception {
         mDirectory = Files.createTempDirectory("boragegap");
-        mDomainCount = domains;
-        mExtraSettings = moreSettings;
+        mDomainCount = domainCount;
+        mExtraSettings = extraSettings;
         List<ListedVm> vms = new ArrayList<>();
-        for (int domain = 0; domain < domains; domain++) {
+        for (int domain = 0; domain < domainCount; domain++) {
             mLogPorts.add(LoopbackPorts.next());
             mVmListPorts.add(LoopbackPorts.next());
-            for (int i = 0; i < targetsEach; i++) {
-                int worker = LoopbackPorts.next();
-                int minion = LoopbackPorts.next();
-                mWorkerPorts.add(worker);
-                mMinionPorts.add(minion);
+            for (int i = 0; i < targetsPerDomain; i++) {
+                int workerPort = LoopbackPorts.next();
+                int minionPort = LoopbackPorts.next();
+                mWorkerPorts.add(workerPort);
+                mMinionPorts.add(minionPort);
                 vms.add(
                         listedTarget(
-                                worker, domain, VmKind.WORKER, "", WORKER_CAPACITY, WORKER_SLOTS));
+                                workerPort,
+                                domain,
+                                VmKind.WORKER,
+                                "",
+                                WORKER_CAPACITY,
+                                WORKER_SLOTS));
                 vms.add(
                         listedTarget(
-                                minion,
+                                minionPort,
                                 domain,
                                 VmKind.MINION,
                                 "catalogue",
                                 Resources.NONE,
                                 MINION_SLOTS));
             }
-            for (int i = 0; i < entriesEach; i++) {
+            for (int i = 0; i < entryVmsPerDomain; i++) {
                 Path settings = mDirectory.resolve("entry-" + domain + "-" + i + ".ini");
                 EntryProcess entry = new EntryProcess(domain, settings);
                 mEntryProcesses.add(entry);
@@ -139,21 +146,22 @@
     }
 
     private void startStandins(List<ListedVm> vms) throws Exception {
-        Path list = mDirectory.resolve("vms.json");
-        Files.writeString(list, PlatformJson.write(new VmList(vms)));
+        Path listFile = mDirectory.resolve("vms.json");
+        Files.writeString(listFile, PlatformJson.write(new VmList(vms)));
         startStandin("log", mLogPorts);
-        startStandin("vms", mVmListPorts, "--lag-ms", "500", "--list", list.toString());
+        startStandin("vms", mVmListPorts, "--lag-ms", "500", "--list", listFile.toString());
         startStandin("worker", mWorkerPorts, "--cpu-millis", "64000", "--memory-mb", "65536");
         startStandin("minion", mMinionPorts);
     }
 
-    private void startStandin(String kind, List<Integer> ports, String... more) throws Exception {
+    private void startStandin(String kind, List<Integer> ports, String... extraArguments)
+            throws Exception {
         List<String> arguments = new ArrayList<>(List.of("standin", kind, "--ports", join(ports)));
-        arguments.addAll(List.of(more));
+        arguments.addAll(List.of(extraArguments));
         Process process = launch(arguments, "standin-" + kind);
         mStandins.add(process);
-        BufferedReader lines = new BufferedReader(new InputStreamReader(process.getInputStream()));
-        if (!"ready".equals(lines.readLine())) {
+        BufferedReader output = new BufferedReader(new InputStreamReader(process.getInputStream()));
+        if (!"ready".equals(output.readLine())) {
             throw new IOException("stand-in " + kind + " did not start");
         }
     }
@@ -175,13 +183,13 @@
                 .start();
     }
 
-    /** Starts an entry process, or a new one at the same address. */
+    /** Starts an entry process. A restarted one gets the same addresses and settings. */
     void start(EntryProcess entry) throws IOException {
         List<String> domains = new ArrayList<>();
         for (int domain = 0; domain < mDomainCount; domain++) {
             domains.add(domainName(domain));
         }
-        String text =
+        String ini =
                 String.join(
                         "\n",
                         "[vm]",
@@ -197,7 +205,7 @@
                         "log_poll_ms = 100",
                         mExtraSettings,
                         "");
-        Files.writeString(entry.mSettingsFile, text);
+        Files.writeString(entry.mSettingsFile, ini);
         String name = entry.mSettingsFile.getFileName().toString();
         entry.mProcess = launch(List.of("serve", "-c", entry.mSettingsFile.toString()), name);
     }
@@ -208,24 +216,28 @@
                 () -> get(entry.mOperatorAddress, "/readyz").statusCode() == 200);
     }
 
-    /** Waits until a condition holds; an I/O error counts as not yet. */
-    void await(String what, Callable<Boolean> condition) throws Exception {
-        long untilNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(AWAIT_TIMEOUT_MS);
-        while (System.nanoTime() < untilNs) {
+    /** Polls a condition until it holds; an I/O error means that it does not hold yet. */
+    void await(String description, Callable<Boolean> condition) throws Exception {
+        long deadlineNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(AWAIT_TIMEOUT_MS);
+        while (System.nanoTime() < deadlineNs) {
             try {
                 if (condition.call()) {
                     return;
                 }
             } catch (IOException e) {
-                // Not up yet, or down on purpose.
+                // The process is not up yet, or the test has stopped it.
             }
             TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MS);
         }
         throw new AssertionError(
-                "not within " + AWAIT_TIMEOUT_MS + " ms: " + what + lastLogLines());
+                "timed out after "
+                        + AWAIT_TIMEOUT_MS
+                        + " ms, waiting for: "
+                        + description
+                        + lastLogLines());
     }
 
-    /** The last lines that the processes logged, for a failing test. */
+    /** The last five log lines of each process, for the message of a failing test. */
     String lastLogLines() throws IOException {
         StringBuilder text = new StringBuilder();
         try (var files = Files.list(mDirectory)) {
@@ -263,7 +275,7 @@
         return parseJson(get(entry.mOperatorAddress, "/dump"));
     }
 
-    /** Changes how the log behaves for one failure domain. */
+    /** Sets the mode of the log stand-in for one failure domain. */
     void setLogMode(int domain, String mode) throws Exception {
         post(
                 HOST + ":" + mLogPorts.get(domain),
@@ -271,12 +283,12 @@
                 "");
     }
 
-    /** How many appends the log has taken. */
+    /** Number of appends that the log has accepted. */
     int logAppends() throws Exception {
         return parseJson(get(HOST + ":" + mLogPorts.get(0), "/stats")).path("appends").asInt();
     }
 
-    /** Takes the VM list away from one failure domain, or gives it back. */
+    /** Makes the VM list unavailable to one failure domain, or available again. */
     void setVmListDown(int domain, boolean down) throws Exception {
         post(
                 HOST + ":" + mVmListPorts.get(domain),
@@ -284,7 +296,7 @@
                 "");
     }
 
-    /** Changes how a minion behaves. */
+    /** Sets the mode of a minion stand-in. */
     void setMinionMode(int index, String mode) throws Exception {
         post(HOST + ":" + mMinionPorts.get(index), "/control?mode=" + mode, "");
     }
@@ -293,27 +305,27 @@
         return mMinionPorts.size();
     }
 
-    /** Starts by submission and index, over all targets. */
+    /** Number of starts of each task over all targets; the key is submission id/task index. */
     Map<String, Integer> starts() throws Exception {
-        Map<String, Integer> all = new HashMap<>();
+        Map<String, Integer> totals = new HashMap<>();
         List<Integer> ports = new ArrayList<>(mWorkerPorts);
         ports.addAll(mMinionPorts);
         for (int port : ports) {
-            Map<String, Integer> some =
+            Map<String, Integer> targetStarts =
                     sMapper.readValue(
                             get(HOST + ":" + port, "/starts").body(), new TypeReference<>() {});
-            some.forEach((task, count) -> all.merge(task, count, Integer::sum));
+            targetStarts.forEach((task, count) -> totals.merge(task, count, Integer::sum));
         }
-        return all;
+        return totals;
     }
 
     /** Sends a signal to an entry process of this deployment. */
-    static void sendSignal(EntryProcess entry, String name) throws Exception {
+    static void sendSignal(EntryProcess entry, String signal) throws Exception {
         String pid = Long.toString(entry.mProcess.pid());
-        new ProcessBuilder("kill", "-" + name, pid).start().waitFor();
+        new ProcessBuilder("kill", "-" + signal, pid).start().waitFor();
     }
 
-    /** Ends all its processes. */
+    /** Kills all processes and deletes their files. */
     void stop() throws Exception {
         for (EntryProcess entry : mEntryProcesses) {
             if (entry.mProcess != null) {
--- a/app/src/test/java/org/boragegap/app/ProcessFailureTest.java
+++ b/app/src/test/java/org/boragegap/app/ProcessFailureTest.java
@@ -17,7 +17,10 @@
 import org.junit.jupiter.api.Nested;
 import org.junit.jupiter.api.Test;
 
-/** Failures of whole processes, over loopback sockets; the targets count what was started. */
+/**
+ * Kills, pauses and cuts off whole processes that talk over loopback sockets. The target stand-ins
+ * count the starts of each task.
+ */
 final class ProcessFailureTest {
     private static final long MAX_ACTIVATION_MS = 14_000;
     private static final String REQUESTS_PATH = "/v1/services/catalogue/requests";
@@ -75,9 +78,10 @@
     @Nested
     final class KilledVm {
         /**
-         * A student's job is running when its entry VM dies, and the client sends it again to the
-         * sibling. Whether the rest ran is not known there, so the answer is at once that it may
-         * have run; nothing is started again. New jobs go on, also after the VM is replaced.
+         * A client's job is running when its entry VM is killed, and the client sends it again to
+         * the sibling. The sibling does not know which tasks have run, so it answers at once that
+         * the job may have run, and starts nothing. It serves new jobs, and the restarted VM gives
+         * the same answer for the old one.
          */
         @Test
         void runningJobEndsInDoubtAndNewJobsAreServed() throws Exception {
@@ -89,21 +93,21 @@
             ProcessDeployment.sendSignal(entryProcess(0, 0), "KILL");
             awaitMembers(entryProcess(0, 1), 1);
 
-            long copiedNs = System.nanoTime();
+            long sentNs = System.nanoTime();
             HttpResponse<String> copy = submit(entryProcess(0, 1), "/v1/jobs", body).get();
-            long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - copiedNs);
+            long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sentNs);
             System.out.println("copy of a dead VM's job answered after ms: " + tookMs);
             assertWithMessage(copy.body()).that(copy.statusCode()).isEqualTo(504);
             assertThat(ProcessDeployment.parseJson(copy).path("outcome").asText())
                     .isEqualTo("may_have_run");
-            String next = RequestBodies.job(RequestBodies.newId(0), "next", 4, 20, 20_000);
-            assertThat(submit(entryProcess(0, 1), "/v1/jobs", next).get().statusCode())
+            String newJob = RequestBodies.job(RequestBodies.newId(0), "next", 4, 20, 20_000);
+            assertThat(submit(entryProcess(0, 1), "/v1/jobs", newJob).get().statusCode())
                     .isEqualTo(200);
 
             mDeployment.start(entryProcess(0, 0));
             mDeployment.awaitReady(entryProcess(0, 0));
-            HttpResponse<String> again = submit(entryProcess(0, 0), "/v1/jobs", body).get();
-            assertWithMessage(again.body()).that(again.statusCode()).isEqualTo(504);
+            HttpResponse<String> secondCopy = submit(entryProcess(0, 0), "/v1/jobs", body).get();
+            assertWithMessage(secondCopy.body()).that(secondCopy.statusCode()).isEqualTo(504);
             assertNothingStartedTwice();
         }
     }
@@ -111,9 +115,10 @@
     @Nested
     final class PausedVm {
         /**
-         * An entry VM is stopped for a while with a job half started, unaware of it. Its sibling
-         * goes on alone and answers a copy of the job with doubt. The paused VM wakes, finishes its
-         * job, finds that the view has moved on, and comes back; no task was started twice.
+         * An entry VM is paused while its job is running, and does not notice. Its sibling forms a
+         * view without it and answers a copy of the job that it may have run. The paused VM
+         * resumes, finishes its job, learns that it is no longer in the view and rejoins. No task
+         * starts twice.
          */
         @Test
         void resumedVmStartsNoTaskTwice() throws Exception {
@@ -138,9 +143,9 @@
     @Nested
     final class LogOutage {
         /**
-         * The platform's log is out. Entry VMs that run go on as before, since a claim needs only
-         * the siblings. A VM that dies and comes back meanwhile can't know what was started, so it
-         * takes no callers until the log is back.
+         * The platform's log is down. Running entry VMs keep serving, since a claim needs only the
+         * siblings. A VM that is killed and restarted meanwhile can't know what was started before,
+         * so it is not ready for callers until the log is back.
          */
         @Test
         void runningVmsServeAndARestartedOneIsNotReady() throws Exception {
@@ -156,7 +161,7 @@
             ProcessDeployment.sendSignal(entryProcess(0, 0), "KILL");
             mDeployment.start(entryProcess(0, 0));
             mDeployment.await(
-                    "the new VM to be up",
+                    "the restarted VM to report that it is not ready",
                     () ->
                             ProcessDeployment.get(entryProcess(0, 0).mOperatorAddress, "/readyz")
                                             .statusCode()
@@ -169,8 +174,9 @@
         }
 
         /**
-         * Appends take effect but their replies are lost, while a VM is replaced. The view record
-         * is found by reading, and proposing it again changes nothing.
+         * The log's replies to appends are lost while a VM is replaced, though the appends take
+         * effect. The entry VMs find the view record by reading the log; proposing it again changes
+         * nothing.
          */
         @Test
         void lostRepliesDoNotBlockAReplacement() throws Exception {
@@ -189,8 +195,9 @@
     @Nested
     final class DomainWithoutPlatform {
         /**
-         * One failure domain loses the platform: its log and its VM list. It goes on serving all
-         * that comes to it, and it gets a bundle that is published elsewhere from its peers.
+         * One failure domain can reach neither the platform's log nor its VM list. It still serves
+         * all requests that it gets, and receives a bundle published in another domain from its
+         * peers.
          */
         @Test
         void domainServesAllRequestsAndReceivesTheBundle() throws Exception {
@@ -210,7 +217,7 @@
             HttpResponse<String> published = publish(entryProcess(1, 0), 1, "", "p1");
             assertWithMessage(published.body()).that(published.statusCode()).isEqualTo(200);
             mDeployment.await(
-                    "the bundle in the domain that is cut off",
+                    "the bundle in the domain without the platform",
                     () ->
                             bundleVersion(entryProcess(0, 0)) == 1
                                     && bundleVersion(entryProcess(0, 1)) == 1);
@@ -237,9 +244,9 @@
     @Nested
     final class ConcurrentPublications {
         /**
-         * Two operators publish different bundles on the same parent through different failure
-         * domains at once. One is accepted and in force everywhere, the other operator is told of
-         * the conflict. An old bundle that is sent again changes nothing.
+         * Two operators publish different bundles with the same parent at once, through different
+         * failure domains. One bundle is accepted and takes effect everywhere; the other operator
+         * is told of the conflict. An old bundle that is published again changes nothing.
          */
         @Test
         void onePublicationIsAcceptedAndTheOtherConflicts() throws Exception {
@@ -253,22 +260,23 @@
             String winner = one.get().statusCode() == 200 ? "one" : "other";
             assertThat(publish(entryProcess(1, 1), 2, winner, "two").statusCode()).isEqualTo(200);
             for (ProcessDeployment.EntryProcess entry : mDeployment.entryProcesses()) {
-                mDeployment.await("version 2", () -> bundleVersion(entry) == 2);
+                mDeployment.await("bundle version 2", () -> bundleVersion(entry) == 2);
             }
             assertThat(publish(entryProcess(0, 1), 1, "", winner).statusCode()).isEqualTo(200);
             assertThat(bundleVersion(entryProcess(0, 1))).isEqualTo(2);
         }
 
         /**
-         * An operator publishes while the log loses its replies. The record is there, and reading
-         * it back gives the answer.
+         * An operator publishes a bundle while the log's replies are lost. The record has been
+         * appended, and the entry VM learns the outcome by reading it from the log.
          */
         @Test
         void lostReplyIsResolvedByReadingTheLog() throws Exception {
             mDeployment.setLogMode(0, "LOSE_REPLIES");
             Future<HttpResponse<String>> published =
                     mCallerPool.submit(() -> publish(entryProcess(0, 0), 1, "", "p1"));
-            mDeployment.await("the bundle elsewhere", () -> bundleVersion(entryProcess(1, 0)) == 1);
+            mDeployment.await(
+                    "the bundle in the other domain", () -> bundleVersion(entryProcess(1, 0)) == 1);
             mDeployment.setLogMode(0, "UP");
             assertThat(published.get().statusCode()).isEqualTo(200);
         }
@@ -277,9 +285,9 @@
     @Nested
     final class Draining {
         /**
-         * An operator stops an entry VM under load, and stops it again out of impatience. Every
-         * request in flight gets its whole answer, later ones are refused as not run or answered by
-         * the sibling, and the process ends by itself with code 0.
+         * An operator sends SIGTERM to an entry VM under load, twice. Every request in flight gets
+         * its complete answer, later ones are refused as not run or answered by the sibling, and
+         * the process exits by itself with code 0.
          */
         @Test
         void requestsInFlightAreCompleted() throws Exception {
@@ -308,8 +316,9 @@
     @Nested
     final class UnresponsiveMinions {
         /**
-         * Minions take requests and never answer. A meter billing is sent once and ends in doubt at
-         * its deadline; a seat check is sent elsewhere and answered.
+         * A minion starts requests and never answers. A request to it that is not idempotent is
+         * sent only once and ends at its deadline as one that may have run; an idempotent one is
+         * sent to another minion and answered.
          */
         @Test
         void onlyIdempotentRequestsAreSentAgain() throws Exception {
--- a/app/src/test/java/org/boragegap/app/ProgressTest.java
+++ b/app/src/test/java/org/boragegap/app/ProgressTest.java
@@ -9,8 +9,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The output of a quick start was piped into a file: all its progress stood in one line of hundreds
- * of words, since each step was written over the one before, as on a terminal.
+ * Guards against unreadable progress in a file. When the output of a quick start was piped into a
+ * file, all its progress stood in one line of hundreds of words, since each step was written over
+ * the one before, as on a terminal.
  */
 final class ProgressTest {
     private final ByteArrayOutputStream mBytes = new ByteArrayOutputStream();
--- a/app/src/test/java/org/boragegap/app/RequestBodies.java
+++ b/app/src/test/java/org/boragegap/app/RequestBodies.java
@@ -4,15 +4,15 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Request bodies for tests. */
+/** Builds the bodies of jobs and service requests for the end-to-end tests. */
 final class RequestBodies {
     private RequestBodies() {}
 
-    /** A job whose task {@code i} answers {@code prefix/i} after {@code runMs}. */
+    /** A job whose task number {@code i} returns {@code prefix/i} after {@code runMs}. */
     static String job(String id, String prefix, int tasks, long runMs, long timeoutMs) {
-        List<String> list = new ArrayList<>();
+        List<String> taskList = new ArrayList<>();
         for (int i = 0; i < tasks; i++) {
-            list.add(
+            taskList.add(
                     "{\"cpuMillis\":200,\"memoryMb\":16,\"expectedMs\":"
                             + runMs
                             + ",\"payload\":"
@@ -24,11 +24,11 @@
                 + "\",\"team\":\"registrar\",\"kind\":\"audit\",\"timeoutMs\":"
                 + timeoutMs
                 + ",\"tasks\":["
-                + String.join(",", list)
+                + String.join(",", taskList)
                 + "]}";
     }
 
-    /** A request to a service that answers {@code result} after {@code runMs}. */
+    /** A request whose task returns {@code result} after {@code runMs}. */
     static String request(
             String id, String result, boolean idempotent, long runMs, long timeoutMs) {
         return "{\"id\":\""
@@ -46,12 +46,12 @@
         return "\"{\\\"runMs\\\":" + runMs + ",\\\"result\\\":\\\"" + result + "\\\"}\"";
     }
 
-    /** A new time-ordered id. */
+    /** A new submission id: a time-ordered UUID (version 7). */
     static String newId() {
         return Generators.timeBasedEpochGenerator().generate().toString();
     }
 
-    /** A new id whose home is the given failure domain. */
+    /** A new submission id whose home is the given failure domain. */
     static String newId(int domain) {
         return ProcessDeployment.domainName(domain) + "~" + newId();
     }
