--- a/app/src/test/java/org/boragegap/app/CellEndToEndTest.java
+++ b/app/src/test/java/org/boragegap/app/CellEndToEndTest.java
@@ -326,7 +326,7 @@
 
         /**
          * The store deletes the history of the operators' topic before and after a new
-         * configuration is written. The entry VM still applies the new configuration.
+         * configuration is written. An entry VM still applies the new configuration.
          */
         @Test
         void configurationIsReadAfterCompaction() throws Exception {
--- a/app/src/test/java/org/boragegap/app/ProcessDeployment.java
+++ b/app/src/test/java/org/boragegap/app/ProcessDeployment.java
@@ -230,11 +230,7 @@
             TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MS);
         }
         throw new AssertionError(
-                "timed out after "
-                        + AWAIT_TIMEOUT_MS
-                        + " ms, waiting for: "
-                        + description
-                        + lastLogLines());
+                "timed out after " + AWAIT_TIMEOUT_MS + " ms: " + description + lastLogLines());
     }
 
     /** The last five log lines of each process, for the message of a failing test. */
