--- a/app/src/test/java/org/boragegap/app/EmbeddedCellTest.java
+++ b/app/src/test/java/org/boragegap/app/EmbeddedCellTest.java
@@ -6,13 +6,13 @@
 import org.boragegap.core.cell.CellLayout;
 import org.junit.jupiter.api.Test;
 
-/** Cells over real connections, against stand-ins, in one process. */
+/** Runs cells in one process, over real connections to stand-ins of the store and the targets. */
 final class EmbeddedCellTest {
     private static final int JOBS = 30;
 
-    /** A new deployment: its entry VMs write the layout themselves, and serve. */
+    /** In a new deployment the store has no layout: the entry VMs write one and serve jobs. */
     @Test
-    void aDeploymentWithoutALayoutDecidesOnOne() throws Exception {
+    void entryVmsCreateAMissingLayout() throws Exception {
         EmbeddedCell deployment = EmbeddedCell.create();
         deployment.start();
         assertThat(deployment.submitJobs(JOBS)).isEqualTo(JOBS);
@@ -20,11 +20,11 @@
     }
 
     /**
-     * A deployment of two cells: each job is served by the cell of its id, on targets of that cell
-     * alone. A target that both controllers took for theirs would be filled twice.
+     * With two cells, each job is served by the cell that its id belongs to, and only on targets of
+     * that cell. A target that both controllers used would be filled twice.
      */
     @Test
-    void jobsOfTwoCellsRunOnTheirOwnTargets() throws Exception {
+    void jobsRunOnlyOnTargetsOfTheirCell() throws Exception {
         CellLayout layout = CellLayout.ofCells(2);
         EmbeddedCell deployment = EmbeddedCell.withLayout(layout);
         deployment.start();
--- a/app/src/test/java/org/boragegap/app/ProgressTest.java
+++ b/app/src/test/java/org/boragegap/app/ProgressTest.java
@@ -9,8 +9,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The output of a quick start was piped into a file: all its progress stood in one line of hundreds
- * of words, since each step was written over the one before, as on a terminal.
+ * Guards against unreadable progress in a file. When the output of a quick start was piped into a
+ * file, all its progress stood in one line of hundreds of words, since each step was written over
+ * the one before, as on a terminal.
  */
 final class ProgressTest {
     private final ByteArrayOutputStream mBytes = new ByteArrayOutputStream();
@@ -22,7 +23,7 @@
     }
 
     @Test
-    void pipedItTellsALineASecondAtTheMostAndTheLastOne() {
+    void pipedOutputHasAtMostOneLinePerSecondAndTheLastOne() {
         Progress progress = Progress.create(50, false, mOut, () -> mNowMs);
         for (int done = 1; done <= 50; done++) {
             mNowMs += 50;
@@ -34,7 +35,7 @@
     }
 
     @Test
-    void onATerminalItWritesOverItsLine() {
+    void onATerminalTheLineIsOverwritten() {
         Progress progress = Progress.create(2, true, mOut, () -> mNowMs);
         progress.update(1);
         progress.update(2);
