--- a/core/src/test/java/org/boragegap/core/cell/CellMemberTest.java
+++ b/core/src/test/java/org/boragegap/core/cell/CellMemberTest.java
@@ -265,7 +265,10 @@
             assertThat(mMember.canServeCallers(at(1_900))).isTrue();
         }
 
-        /** The controller has announced a heartbeat every 400 ms, so a second is no silence. */
+        /**
+         * The controller has announced a heartbeat every 400 ms, so a second without one is not
+         * taken for its loss.
+         */
         @Test
         void silenceIsMeasuredAgainstTheAnnouncedPeriod() {
             stayConnected(0, 1_000, "vm2", "vm3");
--- a/core/src/test/java/org/boragegap/core/cell/CorrelatedLossTest.java
+++ b/core/src/test/java/org/boragegap/core/cell/CorrelatedLossTest.java
@@ -122,8 +122,8 @@
         }
 
         /**
-         * Guards against starting a task for ever because its targets are always lost together with
-         * others.
+         * Guards against endless restarts of a task because its targets are always lost together
+         * with others.
          */
         @Test
         void taskIsNotStartedAfterFourCoincidentCrashes() {
--- a/core/src/test/java/org/boragegap/core/cell/CrashingTaskTest.java
+++ b/core/src/test/java/org/boragegap/core/cell/CrashingTaskTest.java
@@ -102,7 +102,7 @@
         assertThat(mCell.verdicts().get(0)).isInstanceOf(Verdict.InDoubt.class);
     }
 
-    /** Guards against counting a crash twice that two controllers have found. */
+    /** Guards against counting twice a crash that two controllers have found. */
     @Test
     void crashReportedTwiceCountsOnce() {
         reportCrash("t0", CrashEvidence.CONFIRMED);
@@ -125,7 +125,7 @@
         assertThat(mCell.verdicts()).isEmpty();
     }
 
-    /** Guards against starting a task for ever that crashes its targets before they answer. */
+    /** Guards against endless restarts of a task that crashes its targets before they answer. */
     @Test
     void fourUnconfirmedCrashesEndJobInDoubt() {
         for (String target : List.of("c1", "c2", "c3", "c4")) {
@@ -148,7 +148,7 @@
         assertThat(mCell.verdicts().get(0)).isInstanceOf(Verdict.InDoubt.class);
     }
 
-    /** Guards against starting a task for ever because no successor of its targets is seen. */
+    /** Guards against endless restarts of a task because no successor of its targets is seen. */
     @Test
     void expiredLeasesWithoutSuccessorLimitStarts() {
         TargetInfo[] targets = new TargetInfo[8];
@@ -190,7 +190,9 @@
                 .containsExactly(crash(start.target().id(), CrashEvidence.POSSIBLE));
     }
 
-    /** Guards against ending a job for a late crash report about a task that is done by now. */
+    /**
+     * Guards against ending a job because of a late crash report about a task that is already done.
+     */
     @Test
     void lateCrashReportDoesNotEndJobOfFinishedTask() {
         CellAction.StartRun expiredStart = restartAfterLeaseExpiry(2);
@@ -225,8 +227,7 @@
     }
 
     /**
-     * Guards against starting a task again that reached a crash limit while its last run was
-     * active.
+     * Guards against restarting a task that reached a crash limit while its last run was active.
      */
     @Test
     void taskIsNotRestartedWhenActiveRunIsLost() {
@@ -253,7 +254,7 @@
     }
 
     /**
-     * The leases of the first target expire with all tasks of the job, which then start on another
+     * All tasks of the job run on the first target, whose lease expires; they then start on another
      * target.
      */
     private CellAction.StartRun restartAfterLeaseExpiry(int tasks) {
--- a/core/src/test/java/org/boragegap/core/cell/EvacuationTest.java
+++ b/core/src/test/java/org/boragegap/core/cell/EvacuationTest.java
@@ -78,8 +78,7 @@
     }
 
     /**
-     * All domains are evacuated: jobs that wait and jobs that arrive later are declined
-     * immediately.
+     * All domains are evacuated: jobs that wait and jobs that arrive later are refused immediately.
      */
     @Test
     void jobsAreDeclinedWhenAllDomainsAreEvacuated() {
--- a/core/src/test/java/org/boragegap/core/cell/FakeGroup.java
+++ b/core/src/test/java/org/boragegap/core/cell/FakeGroup.java
@@ -78,7 +78,11 @@
         release(member);
     }
 
-    /** Assigns the partition to a random candidate. */
+    /**
+     * Selects a random candidate as the next owner of the partition. From then on the current owner
+     * no longer holds it; the next one gets it once the current one has confirmed the new
+     * generation or is gone.
+     */
     void rebalance() {
         if (mMembers.isEmpty()) {
             return;
--- a/core/src/test/java/org/boragegap/core/cell/FakeTarget.java
+++ b/core/src/test/java/org/boragegap/core/cell/FakeTarget.java
@@ -8,7 +8,10 @@
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 
-/** A target that starts everything that it is ordered to, as the platform's protocol allows. */
+/**
+ * A target that follows the platform's protocol and enforces no capacity: it starts everything that
+ * it is ordered to.
+ */
 final class FakeTarget {
     static final long MAX_LEASE_MS = 1_000;
     private static final int STOP_MS = 30;
--- a/core/src/test/java/org/boragegap/core/cell/FalseRefusalTest.java
+++ b/core/src/test/java/org/boragegap/core/cell/FalseRefusalTest.java
@@ -259,7 +259,10 @@
             assertThat(lastOffer().controllers()).isEqualTo(1);
         }
 
-        /** Guards against an answer in doubt although the controller has declined the job. */
+        /**
+         * Guards against an answer in doubt although the controller has refused the job, which
+         * states that it never ran.
+         */
         @Test
         void aJobThatTheControllerRefusedMayBeRefusedAgain() {
             on(1_000, new EntryEvent.ControllerHeard("vm1", 7));
--- a/core/src/test/java/org/boragegap/core/cell/FollowersTest.java
+++ b/core/src/test/java/org/boragegap/core/cell/FollowersTest.java
@@ -6,7 +6,7 @@
 import org.boragegap.core.ClockReading;
 import org.junit.jupiter.api.Test;
 
-/** Endorsement of a controller by a majority that can't reach the store. */
+/** The latest heartbeat for which a majority that can't reach the store endorses the controller. */
 final class FollowersTest {
     private final Followers mFollowers = new Followers();
 
@@ -42,9 +42,10 @@
 
     /**
      * Guards against a task that runs twice: one of six VMs restarts, then the controller's failure
-     * domain, three VMs including the controller, is disconnected. These three are a majority of
-     * the five listed VMs and follow the controller without the store, while the store assigns the
-     * cell to one of the other two. Three of six are no majority.
+     * domain, three VMs including the controller, is disconnected from the store and the other VMs.
+     * These three are a majority of the five listed VMs and follow the controller without the
+     * store, while the store assigns the cell to one of the other two. Three of six are no
+     * majority.
      */
     @Test
     void aRecentlyDelistedVmStillCounts() {
--- a/core/src/test/java/org/boragegap/core/cell/HeartbeatTimingTest.java
+++ b/core/src/test/java/org/boragegap/core/cell/HeartbeatTimingTest.java
@@ -49,8 +49,8 @@
     }
 
     /**
-     * Ticks wake an idle VM, so they are rare, but must not delay much when it misses its
-     * controller.
+     * Ticks wake an idle VM, so there should be few, but enough to notice the loss of its
+     * controller without much delay.
      */
     @Test
     void anIdleVmTicksThreeTimesAPeriodAndAtLeastTenTimesASecond() {
@@ -63,8 +63,8 @@
     }
 
     /**
-     * A controller was once stalled for four seconds; callers must not wait longer for its loss to
-     * be noticed.
+     * A controller that was once stalled for four seconds announces a longer period. When it is
+     * lost, callers must not have to wait for longer than two seconds until this is noticed.
      */
     @Test
     void aLongStallDoesNotDelayLossDetection() {
--- a/core/src/test/java/org/boragegap/core/cell/IdleTargetsTest.java
+++ b/core/src/test/java/org/boragegap/core/cell/IdleTargetsTest.java
@@ -109,9 +109,9 @@
         }
 
         /**
-         * A task of 900 ms starts on an idle target, while the long poll may be held back until the
-         * task's lease has expired. Without a further call the task is killed while it runs, and
-         * its caller waits for a second run.
+         * A task of 900 ms starts on an idle target, while the target may hold back its answer to
+         * the long poll until the task's lease has expired. Without a further call the task is
+         * killed while it runs, and its caller waits for a second run.
          */
         @Test
         void leaseOfLongRunIsExtendedInTime() {
--- a/core/src/test/java/org/boragegap/core/cell/InvariantChecker.java
+++ b/core/src/test/java/org/boragegap/core/cell/InvariantChecker.java
@@ -44,7 +44,10 @@
         }
     }
 
-    /** Sets how long after an evacuation starts may still arrive in its domain, in ms. */
+    /**
+     * Sets how long start orders may still arrive in a domain after its evacuation was requested,
+     * in ms.
+     */
     void evacuateWithin(long ms) {
         mEvacuationLimitMs = ms;
     }
--- a/core/src/test/java/org/boragegap/core/cell/LostOrdersTest.java
+++ b/core/src/test/java/org/boragegap/core/cell/LostOrdersTest.java
@@ -11,8 +11,8 @@
  * unanswered start held its capacity for half a second; an unanswered lease call hid all ends on
  * its target for as long; and healthy runs whose end was not reported were stopped as stuck.
  *
- * <p>The load is half of the targets' capacity. A share of 0.055 lost orders is specified for the
- * deployments; a tenth and two fifths can occur in any deployment.
+ * <p>The load is half of the targets' capacity, as on a quiet day. A share of 0.055 lost orders is
+ * specified for the deployments; a tenth and two fifths can occur in any deployment.
  */
 final class LostOrdersTest {
     private static final double JOBS_PER_S = 60;
@@ -32,8 +32,8 @@
     }
 
     /**
-     * The share in time was 0.91 here and 0.92 over three other seeds, and 0.72 with timeouts of
-     * 250 ms throughout.
+     * The share in time was 0.91 with this seed and 0.92 over three other seeds, and 0.72 with
+     * timeouts of 250 ms throughout.
      */
     @Test
     void aTenthOfTheOrdersLostLeavesMostInTime() {
--- a/core/src/test/java/org/boragegap/core/cell/OrderTransport.java
+++ b/core/src/test/java/org/boragegap/core/cell/OrderTransport.java
@@ -5,8 +5,8 @@
 import java.util.function.Consumer;
 
 /**
- * Delivers orders of a simulated history to targets and returns their answers; some are lost, late
- * or delayed.
+ * Delivers orders of a simulated history to targets and returns their answers. Some answers are
+ * lost or slow, and some orders arrive seconds late and get no answer.
  */
 final class OrderTransport {
     private static final long ANSWER_TIMEOUT_MS = 300;
--- a/core/src/test/java/org/boragegap/core/cell/Orders.java
+++ b/core/src/test/java/org/boragegap/core/cell/Orders.java
@@ -15,7 +15,7 @@
         return ((CellAction.StopRun) order).target();
     }
 
-    /** How long the target may delay its answer, in ms. */
+    /** How long the target may hold its answer back, in ms. */
     static long waitMs(CellAction order) {
         return order instanceof CellAction.ExtendLease extend ? extend.waitMs() : 0;
     }
--- a/core/src/test/java/org/boragegap/core/cell/ReplacedTargetTest.java
+++ b/core/src/test/java/org/boragegap/core/cell/ReplacedTargetTest.java
@@ -35,7 +35,10 @@
             mStart = mCell.starts().get(0);
         }
 
-        /** Guards against ordering a task again and again from an incarnation that is gone. */
+        /**
+         * Guards against sending the start of a task again and again to an incarnation that is
+         * gone.
+         */
         @Test
         void taskStartsOnAnotherTarget() {
             mCell.answer(12, mStart, OrderResult.OTHER_INCARNATION);
@@ -82,7 +85,7 @@
     @Nested
     class AllTargetsReplaced {
         /**
-         * Guards against declining a job as infeasible while all targets that could hold it
+         * Guards against refusing a job as impossible to place while all targets that could hold it
          * restart.
          */
         @Test
--- a/core/src/test/java/org/boragegap/core/cell/ScriptedCell.java
+++ b/core/src/test/java/org/boragegap/core/cell/ScriptedCell.java
@@ -96,7 +96,8 @@
     }
 
     /**
-     * Offers a job with tasks of 1,000 thousandths of a core each. A single failed run fails it.
+     * Offers a job with tasks of 1,000 thousandths of a core each. The job fails with its first
+     * failed run.
      */
     void offer(long ms, String job, int tasks) {
         offer(ms, job, StepRequest.cpuOnly(tasks, 1_000, 100));
--- a/core/src/test/java/org/boragegap/core/cell/UnreachableTargetTest.java
+++ b/core/src/test/java/org/boragegap/core/cell/UnreachableTargetTest.java
@@ -12,7 +12,7 @@
     private static final TargetInfo FIRST = ScriptedCell.target("t1", "x:1", "a", 2_000);
     private static final TargetInfo SECOND = ScriptedCell.target("t2", "x:2", "a", 2_000);
 
-    /** The length of a lease on a clock that is 2% slow, plus some calls. */
+    /** The length of a lease on a clock that is 2% slow, plus the time for some calls, in ms. */
     private static final long LEASE_EXPIRED_MS = 1_500;
 
     private final ScriptedCell mCell = new ScriptedCell();
