--- a/bench/src/main/java/org/boragegap/bench/ClaimBenchmark.java
+++ b/bench/src/main/java/org/boragegap/bench/ClaimBenchmark.java
@@ -44,7 +44,7 @@
     @Param({"1", "2", "3"})
     public int mMembers;
 
-    /** Number of claims that each member keeps; the oldest ones expire as new ones are made. */
+    /** Number of claims that the claiming member keeps; later ones are released there. */
     @Param({"1000", "100000"})
     public int mKept;
 
@@ -81,7 +81,10 @@
         protocol.onLog(batch, new ClockReading(1, 1), new ArrayList<>());
     }
 
-    /** Makes a claim; the clock advances such that {@link #mKept} claims are kept. */
+    /**
+     * Makes a claim, and releases it again if {@link #mKept} claims are kept already. The other
+     * members get neither the release nor a tick that expires claims, so they keep every claim.
+     */
     @Benchmark
     public void claim() {
         long number = ++mNextId;
--- a/core/src/main/java/org/boragegap/core/bundle/BundleChain.java
+++ b/core/src/main/java/org/boragegap/core/bundle/BundleChain.java
@@ -8,11 +8,11 @@
 /**
  * Decides which bundle is active.
  *
- * <p>The first publication in log order that names the active bundle as its parent, is correctly
- * signed and can be applied becomes active; all readers of the log agree on it. A newer bundle
- * received from a peer becomes active on this VM at once, but only the log decides whether a
- * publication is accepted. Versions only increase: an old bundle that is replayed or arrives late
- * is ignored.
+ * <p>The first publication in log order that names the newest accepted one as its parent, is
+ * correctly signed and can be applied is accepted; all readers of the log agree on it. It becomes
+ * active unless a newer bundle is active already. A newer bundle received from a peer becomes
+ * active on this VM at once, but only the log decides whether a publication is accepted. Versions
+ * only increase: an old bundle that is replayed or arrives late is ignored.
  */
 public final class BundleChain {
     private static final int MAX_KEPT_RESULTS = 256;
--- a/core/src/main/java/org/boragegap/core/bundle/BundleRecord.java
+++ b/core/src/main/java/org/boragegap/core/bundle/BundleRecord.java
@@ -17,7 +17,9 @@
 
     /** How a record affects the active bundle. */
     public enum Kind {
-        /** A publication: becomes active if its parent is active when the record is read. */
+        /**
+         * A publication: accepted if its parent is the newest accepted one when the record is read.
+         */
         PUBLISHED,
         /** A statement: repeats the active bundle, so that it outlives the log's retention. */
         STATED
--- a/core/src/main/java/org/boragegap/core/claim/ClaimTable.java
+++ b/core/src/main/java/org/boragegap/core/claim/ClaimTable.java
@@ -8,7 +8,7 @@
 import java.util.Optional;
 
 /**
- * The claims of one failure domain, in order of arrival, each kept for {@link
+ * The claims of one failure domain, in order of arrival, each kept for at least {@link
  * ClaimLimits#claimRetentionMs}.
  *
  * <p>If two members claim the same id concurrently, both claims are recorded: only those two
--- a/core/src/main/java/org/boragegap/core/claim/ViewManager.java
+++ b/core/src/main/java/org/boragegap/core/claim/ViewManager.java
@@ -17,8 +17,8 @@
  *
  * <p>A view changes only by a record on the log, and the order of the log decides between
  * concurrent proposals. A member moves from one view to the next in a single step and acknowledges
- * nothing under a view that it has left. So once one common member has moved on, no claim can be
- * granted under the earlier view.
+ * nothing under a view that it has left. So once any one member of both views has moved on, no
+ * claim can be granted under the earlier view.
  */
 final class ViewManager {
     private static final int PROPOSAL_INTERVAL_FACTOR = 5;
--- a/core/src/main/java/org/boragegap/core/dispatch/EntryVms.java
+++ b/core/src/main/java/org/boragegap/core/dispatch/EntryVms.java
@@ -85,7 +85,6 @@
         return Map.copyOf(mByDomain);
     }
 
-    /** All known entry VMs. */
     List<String> all() {
         return mByDomain.values().stream().flatMap(List::stream).toList();
     }
--- a/core/src/main/java/org/boragegap/core/dispatch/Forwards.java
+++ b/core/src/main/java/org/boragegap/core/dispatch/Forwards.java
@@ -10,7 +10,6 @@
 /** Submissions that were forwarded to other entry VMs and not answered yet. */
 final class Forwards {
 
-    /** One forwarded submission. */
     static final class Forward {
         private final Submission mSubmission;
         private final String mAddress;
@@ -70,7 +69,7 @@
         return mById.size();
     }
 
-    /** Forwards whose deadline passed more than {@link #DEADLINE_GRACE_MS} ago. */
+    /** Forwards whose deadline passed at least {@link #DEADLINE_GRACE_MS} ago. */
     List<Long> expired(long wallMs) {
         List<Long> ids = new ArrayList<>();
         for (Map.Entry<Long, Forward> entry : mById.entrySet()) {
--- a/core/src/main/java/org/boragegap/core/dispatch/JobScheduler.java
+++ b/core/src/main/java/org/boragegap/core/dispatch/JobScheduler.java
@@ -187,7 +187,7 @@
     }
 
     /**
-     * Starts a task of the first job or, if that job's next task fits on no target, of one of the
+     * Starts a task of the first job or, if that job's next task can't be placed now, of one of the
      * jobs behind it, so that a large task doesn't block smaller ones.
      */
     private boolean startFirstFitting(Job first, ClockReading clock, List<Action> out) {
--- a/core/src/main/java/org/boragegap/core/dispatch/TargetSummary.java
+++ b/core/src/main/java/org/boragegap/core/dispatch/TargetSummary.java
@@ -8,8 +8,9 @@
  *
  * @param target the target
  * @param owned whether this VM owns the target and accounts for its capacity
- * @param running number of this VM's attempts that are running there
- * @param leaving whether the target is shutting down
+ * @param running number of slots that this VM accounts as in use, by its own attempts or lent to
+ *     siblings; attempts on borrowed slots are not included
+ * @param leaving whether the target is leaving the deployment
  * @param quarantined whether the target gets only probes because of its failures
  */
 public record TargetSummary(
--- a/core/src/main/java/org/boragegap/core/dispatch/WorkQueue.java
+++ b/core/src/main/java/org/boragegap/core/dispatch/WorkQueue.java
@@ -16,8 +16,8 @@
  * <p>A team queue's virtual time grows by the expected run time of each started task, divided by
  * the team's weight. The queue whose first job has the lowest virtual finish time is served first,
  * so small jobs overtake large ones as long as their team's virtual time isn't ahead of the others'
- * by more than the difference. A queue that was empty resumes at the current virtual time, so a
- * team gets no credit for idle time.
+ * by more than the difference. A queue that was empty resumes no lower than the virtual time at
+ * which the other queues are served, so a team gets no credit for idle time.
  *
  * <p>Urgent jobs come first, within a team and among the teams. With {@link QueueOrder#FIFO} there
  * is a single queue for all teams, in order of arrival.
--- a/core/src/main/java/org/boragegap/core/job/FailureKind.java
+++ b/core/src/main/java/org/boragegap/core/job/FailureKind.java
@@ -12,7 +12,7 @@
     IMPOSSIBLE(true),
     /** The id was already used with another body; this body was not run. */
     CONFLICT(true),
-    /** The caller cancelled the submission. */
+    /** The caller cancelled the submission, some of which may have run before that. */
     CANCELLED(false);
 
     private final boolean mNothingRan;
--- a/core/src/main/java/org/boragegap/core/limit/RetryAfter.java
+++ b/core/src/main/java/org/boragegap/core/limit/RetryAfter.java
@@ -1,6 +1,9 @@
 package org.boragegap.core.limit;
 
-/** Computes when refused callers should retry, spread out so that they don't all retry at once. */
+/**
+ * Computes when callers of rejected submissions should retry, spread out so that they don't all
+ * retry at once.
+ */
 public final class RetryAfter {
     private static final long MIN_MS = 200;
     private static final long MAX_MS = 30_000;
--- a/core/src/main/java/org/boragegap/core/log/ReadWindow.java
+++ b/core/src/main/java/org/boragegap/core/log/ReadWindow.java
@@ -8,10 +8,10 @@
  * The records that one reader has read from the log without a gap.
  *
  * <p>The log keeps records for a limited time. A reader that starts late, or was disconnected for
- * too long, has missed some and must not draw conclusions from the remaining ones: a record may be
- * void because of an earlier one that the log no longer holds. The reader may start from a
- * statement, which gives the state after all records up to an offset, if it has every record after
- * that offset.
+ * too long, has missed some and must not draw conclusions from the remaining ones: a record may
+ * have no effect because of an earlier one that the log no longer holds. The reader may start from
+ * a statement, which gives the state after all records up to an offset, if it has every record
+ * after that offset.
  *
  * @param <T> the type of the records
  */
@@ -31,8 +31,8 @@
 
     /**
      * Sets the offset from which on every record has been read. Returns true when it has advanced:
-     * records before it were missed, so the window is emptied and what was concluded from earlier
-     * records is void. The first call returns true as well.
+     * records before it were missed, so the window is emptied and conclusions from earlier records
+     * are no longer valid. The first call returns true as well.
      *
      * @param firstOffset first offset of the window
      * @param nowMs time of the read by the log's clock
--- a/core/src/main/java/org/boragegap/core/placement/Borrower.java
+++ b/core/src/main/java/org/boragegap/core/placement/Borrower.java
@@ -100,7 +100,8 @@
                 mFreeSlots.computeIfAbsent(given.service(), service -> new ArrayList<>());
         for (LoanMessage.Line line : given.lines()) {
             request.mOutstanding -= line.count();
-            // The term starts with the sibling's grant, which is no earlier than the request.
+            // The term starts with the sibling's grant. That time isn't known here, but it is no
+            // earlier than the request, so the term is counted from the request.
             long usableUntilMs = Math.min(nowMs, request.mSentMs) + line.termMs();
             for (int i = 0; i < line.count(); i++) {
                 free.add(new BorrowedSlot(owner, line, usableUntilMs));
--- a/core/src/main/java/org/boragegap/core/placement/Lender.java
+++ b/core/src/main/java/org/boragegap/core/placement/Lender.java
@@ -169,7 +169,7 @@
         }
     }
 
-    /** Recalls as many slots as own tasks wait for. */
+    /** Recalls up to as many slots as own tasks wait for, at most once per interval. */
     public void recall(Map<String, Integer> ownWaiting, long nowMs, List<LoanAction> out) {
         if (nowMs - mLastRecallMs < MIN_RECALL_INTERVAL_MS) {
             return;
@@ -193,7 +193,10 @@
                 });
     }
 
-    /** Ends loans that have expired or whose borrower is no longer a sibling; serves requests. */
+    /**
+     * Ends loans that have expired or whose borrower is no longer a sibling; serves pending
+     * requests.
+     */
     public void onTick(
             Set<String> siblings, Set<String> waitingServices, long nowMs, List<LoanAction> out) {
         Iterator<Loan> loans = mLoans.values().iterator();
--- a/core/src/main/java/org/boragegap/core/placement/TargetPool.java
+++ b/core/src/main/java/org/boragegap/core/placement/TargetPool.java
@@ -52,7 +52,8 @@
     /**
      * Updates the targets from the platform's list, which may be out of date.
      *
-     * <p>A target that is no longer listed gets no new tasks; it is kept while attempts run there.
+     * <p>A target that is no longer listed gets no new tasks; it is kept while any of its slots is
+     * accounted for here as in use.
      */
     public void onListed(List<Target> listed, Set<String> leaving) {
         Map<String, TargetState> before = new HashMap<>(mTargets);
@@ -103,7 +104,10 @@
         return Optional.of(mPolicy.choose(candidates, mTurn++, mRandom));
     }
 
-    /** Tries a few targets only, so that the cost doesn't depend on the number of targets. */
+    /**
+     * Chooses among a few random targets, so that the cost doesn't depend on the number of targets.
+     * Empty if fewer than two of them accept the task; the caller then checks all targets.
+     */
     private Optional<TargetState> sample(List<TargetState> owned, Predicate<TargetState> accepts) {
         List<TargetState> candidates = new ArrayList<>(2);
         for (int i = 0; i < MAX_SAMPLES && candidates.size() < 2; i++) {
--- a/core/src/main/java/org/boragegap/core/placement/TargetState.java
+++ b/core/src/main/java/org/boragegap/core/placement/TargetState.java
@@ -34,7 +34,10 @@
         return mTarget;
     }
 
-    /** Number of slots in use, by this entry VM's own tasks or lent to siblings. */
+    /**
+     * Number of slots that this entry VM accounts as in use, by its own tasks or lent to siblings.
+     * A task on a borrowed slot is accounted for by the target's owner only.
+     */
     public int running() {
         return mRunning;
     }
@@ -64,7 +67,7 @@
         mListedLeaving = leaving;
     }
 
-    /** The part of the target's capacity that this entry VM accounts as in use. */
+    /** The part of a minion's slots or a worker's CPU that this entry VM accounts as in use. */
     double load() {
         if (mTarget.role() == Role.MINION) {
             return (double) mRunning / Math.max(1, mTarget.slots());
--- a/core/src/test/java/org/boragegap/core/dispatch/DispatcherTest.java
+++ b/core/src/test/java/org/boragegap/core/dispatch/DispatcherTest.java
@@ -269,7 +269,7 @@
 
         /**
          * The list lags and still shows the minion as available. The minion's own report takes
-         * precedence over it.
+         * precedence over it, and stays in effect after the next list.
          */
         @Test
         void aMinionThatReportsItIsLeavingGetsNothingMore() {
