--- a/core/src/main/java/org/boragegap/core/cell/AdmissionControl.java
+++ b/core/src/main/java/org/boragegap/core/cell/AdmissionControl.java
@@ -12,8 +12,8 @@
  */
 final class AdmissionControl {
     /**
-     * Share of its slack that a job may be expected to wait; it is small because run time estimates
-     * are inaccurate.
+     * Maximum share of its slack that a job may be expected to wait; run time estimates have errors
+     * larger than this share.
      */
     private static final double MAX_SLACK_SHARE = 0.2;
 
--- a/core/src/main/java/org/boragegap/core/cell/CellEvent.java
+++ b/core/src/main/java/org/boragegap/core/cell/CellEvent.java
@@ -35,7 +35,7 @@
     record TargetsListed(List<TargetInfo> targets) implements CellEvent {}
 
     /**
-     * Operators have evacuated failure domains; also sent to a VM that controls no cell.
+     * Operators have evacuated failure domains; also sent to a VM that does not control the cell.
      *
      * @param domains all evacuated domains; may be empty
      */
@@ -89,7 +89,7 @@
     record LeaseExtended(String target, long call, TargetReport report) implements CellEvent {}
 
     /**
-     * A lease call has failed.
+     * A lease call has failed: the target gave no usable answer.
      *
      * @param target id of the target
      * @param call number of the call
--- a/core/src/main/java/org/boragegap/core/cell/CellJob.java
+++ b/core/src/main/java/org/boragegap/core/cell/CellJob.java
@@ -86,7 +86,7 @@
         return mObjectiveMs;
     }
 
-    /** CPU demand of its smallest task, in thousandths of a core. */
+    /** Processor demand of its smallest task, in thousandths of a core. */
     int minTaskCpu() {
         return mMinTaskCpu;
     }
@@ -99,8 +99,8 @@
     }
 
     /**
-     * Last time at which starting its longest chain of steps is of use: a later answer would exceed
-     * the time that the caller waits, or the time for which a late answer is of use.
+     * Last time at which starting its longest chain of steps is of use. After a later start, the
+     * answer would arrive when the caller no longer waits, or too late to be of use.
      */
     long lastUsefulStartMs() {
         return mArrivedMs
--- a/core/src/main/java/org/boragegap/core/cell/CellLayout.java
+++ b/core/src/main/java/org/boragegap/core/cell/CellLayout.java
@@ -14,8 +14,8 @@
  *
  * <p>A controller's work grows with its cell, not with the deployment. The number of cells is
  * decided once for a deployment and kept in the store: if it changed, two controllers might claim
- * the same target or job. The minimum lease of the group is kept there for the same reason: a VM's
- * endorsement of another is valid for one lease, which has to be the same on all VMs.
+ * the same target or job. The minimum lease of the group is kept there too: a VM's endorsement of
+ * another is valid for one lease, which has to be the same on all VMs.
  *
  * @param cells number of cells
  * @param minLeaseMs minimum lease that a VM requests from the group, in ms
--- a/core/src/main/java/org/boragegap/core/cell/CellMessage.java
+++ b/core/src/main/java/org/boragegap/core/cell/CellMessage.java
@@ -80,8 +80,8 @@
     }
 
     /**
-     * Controller to all entry VMs: a target has crashed while it ran a task, which also counts in
-     * later terms.
+     * Controller to all entry VMs: a target has crashed while a task ran there, or may have run
+     * there. The crash also counts in later terms.
      *
      * @param task the task
      * @param target id of the target
--- a/core/src/main/java/org/boragegap/core/cell/ControllerSearch.java
+++ b/core/src/main/java/org/boragegap/core/cell/ControllerSearch.java
@@ -43,7 +43,6 @@
         mStrength = strength;
     }
 
-    /** Whether this VM requests the cell from the group. */
     boolean isCandidate() {
         return mCandidacy.isCandidate();
     }
--- a/core/src/main/java/org/boragegap/core/cell/CrashHistory.java
+++ b/core/src/main/java/org/boragegap/core/cell/CrashHistory.java
@@ -118,7 +118,7 @@
      */
     void recordCrash(TaskName task, String target, CrashEvidence evidence, long nowMs) {
         Crashes known = crashes(task);
-        // Removed first: an entry that is overwritten would keep its position among the oldest.
+        // Removed first, because replacing the value would keep the entry's old insertion order.
         mCrashes.remove(task);
         mCrashes.put(task, known.with(target, evidence, nowMs));
         evict(nowMs);
--- a/core/src/main/java/org/boragegap/core/cell/HeartbeatSchedule.java
+++ b/core/src/main/java/org/boragegap/core/cell/HeartbeatSchedule.java
@@ -62,8 +62,8 @@
     }
 
     /**
-     * Time between two heartbeats, in ms, as a controller that need not wait for replies announces
-     * it.
+     * Time between two heartbeats of a controller that has all the replies that it needs, in ms;
+     * this is the period that it announces.
      */
     long periodMs(int peers) {
         return HeartbeatTiming.periodMs(mCells, peers, mCpuMillis, mStalls.longestStallMs());
--- a/core/src/main/java/org/boragegap/core/cell/LeaseManager.java
+++ b/core/src/main/java/org/boragegap/core/cell/LeaseManager.java
@@ -162,7 +162,10 @@
         }
     }
 
-    /** Requests a report immediately, even if one is pending, which was requested too early. */
+    /**
+     * Requests a report immediately, even if one is pending: that one was requested too early to
+     * show the current state.
+     */
     void requestNewReport(Target target) {
         target.calls().reportRequestSent(send(target, 0));
     }
--- a/core/src/main/java/org/boragegap/core/cell/MemberAction.java
+++ b/core/src/main/java/org/boragegap/core/cell/MemberAction.java
@@ -4,7 +4,7 @@
 public sealed interface MemberAction {
 
     /**
-     * Send a message to another entry VM.
+     * Sends a message to another entry VM.
      *
      * @param address its peer address
      * @param message the message
@@ -12,34 +12,34 @@
     record Send(String address, CellMessage message) implements MemberAction {}
 
     /**
-     * Send an order to a target.
+     * Sends an order to a target.
      *
      * @param order a lease, a start or a stop
      */
     record Order(CellAction order) implements MemberAction {}
 
     /**
-     * Answer a waiting caller.
+     * Answers a waiting caller.
      *
      * @param reply the answer
      */
     record Reply(EntryAction.Reply reply) implements MemberAction {}
 
     /**
-     * Start or stop watching the platform's list of targets.
+     * Starts or stops watching the platform's list of targets.
      *
      * @param watch true to start
      */
     record WatchTargets(boolean watch) implements MemberAction {}
 
-    /** Read the members of the group at once. */
+    /** Reads the members of the group at once. */
     record ReadMembers() implements MemberAction {}
 
-    /** Join the group again at once, so that the store can continue its rebalance. */
+    /** Joins the group again at once, so that the store can continue its rebalance. */
     record Rejoin() implements MemberAction {}
 
     /**
-     * Write a line to the log.
+     * Writes one log line.
      *
      * @param decision the decision and its inputs
      */
--- a/core/src/main/java/org/boragegap/core/cell/MemberEvent.java
+++ b/core/src/main/java/org/boragegap/core/cell/MemberEvent.java
@@ -54,6 +54,6 @@
     /** This VM accepts no more callers. */
     record Draining() implements MemberEvent {}
 
-    /** Time has passed. */
+    /** Periodic timer event. */
     record Ticked() implements MemberEvent {}
 }
--- a/core/src/main/java/org/boragegap/core/cell/Membership.java
+++ b/core/src/main/java/org/boragegap/core/cell/Membership.java
@@ -154,7 +154,7 @@
         return mAssignedElsewhere;
     }
 
-    /** Another VM acts with a higher fencing token. */
+    /** Ends the term, because another VM acts with a higher fencing token. */
     public void deposed() {
         mFence = 0;
     }
--- a/core/src/main/java/org/boragegap/core/cell/PendingJobs.java
+++ b/core/src/main/java/org/boragegap/core/cell/PendingJobs.java
@@ -74,8 +74,9 @@
         }
 
         /**
-         * Verdict for a caller whose job is not pending at a controller and will not be offered
-         * again. Without an offer on record, the job is declined; otherwise it may have run.
+         * Verdict for a caller for whom the job will not be offered to a controller. The job is
+         * declined if no earlier offer of it is on record; otherwise it may have run, and the
+         * verdict is in doubt.
          */
         Verdict refusal(String reason) {
             return controllers == 0
--- a/core/src/main/java/org/boragegap/core/cell/Predecessors.java
+++ b/core/src/main/java/org/boragegap/core/cell/Predecessors.java
@@ -16,7 +16,7 @@
 final class Predecessors {
     /**
      * Time after which a lease granted by an earlier controller has expired, in ms: a second, on a
-     * clock that is 2% slow, and as much again for messages in flight.
+     * clock that is 2% slow (1,020 ms), and 80 ms for messages in flight.
      */
     private static final long LEASE_EXPIRED_AFTER_MS = 1_100;
 
@@ -31,7 +31,10 @@
         /** A controller has just ended its term, and its list of targets isn't known. */
         TARGETS_UNKNOWN,
 
-        /** The last controller's list of targets is known; their reports tell what is running. */
+        /**
+         * The last controller's list of targets is known; the reports of these targets tell what is
+         * running.
+         */
         TARGETS_KNOWN,
 
         /** All leases of earlier controllers have expired. */
@@ -71,7 +74,6 @@
         mInheritedFence = inheritedFence;
     }
 
-    /** This VM's own term has ended. */
     void ownTermEnded(long fence, long nowMs) {
         mLastOwnFence = fence;
         mLastOwnTermEndedMs = nowMs;
@@ -108,7 +110,6 @@
         mAnswered.put(peer, answer);
     }
 
-    /** The current knowledge. */
     Knowledge known() {
         return mKnown;
     }
--- a/core/src/main/java/org/boragegap/core/cell/RunTracker.java
+++ b/core/src/main/java/org/boragegap/core/cell/RunTracker.java
@@ -72,7 +72,7 @@
         return run;
     }
 
-    /** Logs all starts of a job on one line, because each log line costs CPU time. */
+    /** Logs all starts of a job on one line, because each log line costs processor time. */
     void logStarts(CellJob job, List<Run> runs) {
         if (runs.isEmpty()) {
             return;
@@ -387,7 +387,7 @@
         return allDone;
     }
 
-    /** Marks a task as done; stops a second run, started because the first seemed lost. */
+    /** Marks a task as done; stops its current run, started because the done one seemed lost. */
     private boolean markKnownDone(CellTask task) {
         task.run().ifPresent(this::stop);
         task.job().markMayHaveStarted();
@@ -410,7 +410,9 @@
                 Decision.run("adopt", task.name(), target.id(), "run=" + foreign.run(), "runs on"));
     }
 
-    /** Releases all runs on a target whose lease expired or whose incarnation was replaced. */
+    /**
+     * Releases all runs on a lost target: its lease expired or it was replaced, so all have ended.
+     */
     void releaseAll(Target target, String cause) {
         for (Run run : new ArrayList<>(target.runs().values())) {
             release(run, cause);
--- a/core/src/main/java/org/boragegap/core/cell/StepRequest.java
+++ b/core/src/main/java/org/boragegap/core/cell/StepRequest.java
@@ -4,10 +4,10 @@
 import java.util.Optional;
 
 /**
- * One step of a job: a number of identical tasks.
+ * One step of a job: a number of tasks with the same demands.
  *
  * @param count number of tasks
- * @param cpuMillis CPU demand of each task, in thousandths of a core
+ * @param cpuMillis processor demand of each task, in thousandths of a core
  * @param memoryMb memory demand of each task, in MB
  * @param accelerators number of accelerators that each task needs
  * @param estimateMs the caller's rough estimate of a task's run time, in ms; 0 for none
@@ -27,7 +27,7 @@
         Optional<String> preferredRack,
         int maxPerTarget) {
 
-    /** Creates a step whose tasks need only CPU. */
+    /** Creates a step whose tasks need only processor time. */
     public static StepRequest cpuOnly(int count, int cpuMillis, long estimateMs) {
         return new StepRequest(
                 count,
