--- a/app/src/main/java/org/boragegap/app/BundleCommand.java
+++ b/app/src/main/java/org/boragegap/app/BundleCommand.java
@@ -21,7 +21,7 @@
 import org.apache.commons.cli.Options;
 import org.boragegap.core.bundle.Bundle;
 
-/** Creates, signs and publishes configuration bundles, and shows the one in force. */
+/** Creates, signs and publishes configuration bundles, and shows the active one. */
 final class BundleCommand implements Command {
     private static final int OK = 200;
     private static final int TIMEOUT = 504;
--- a/app/src/test/java/org/boragegap/app/CellEndToEndTest.java
+++ b/app/src/test/java/org/boragegap/app/CellEndToEndTest.java
@@ -313,8 +313,8 @@
 
         /**
          * The metrics address of a process is in use when it starts. The start fails with that
-         * error, and none of its threads keeps running. Its store clients once did, for good, so
-         * this VM could have been assigned a cell that no caller reaches.
+         * error, and none of its threads keeps running. In an earlier version its store clients
+         * kept running, so this VM could have been assigned a cell that no caller reaches.
          */
         @Test
         void failedStartLeavesNoThreadsRunning() throws Exception {
--- a/app/src/test/java/org/boragegap/app/ProgressTest.java
+++ b/app/src/test/java/org/boragegap/app/ProgressTest.java
@@ -10,8 +10,8 @@
 
 /**
  * Guards against unreadable progress in a file. When the output of a quick start was piped into a
- * file, all its progress stood in one line of hundreds of words, since each step was written over
- * the one before, as on a terminal.
+ * file, all its progress was in one line of hundreds of words, since each step was written over the
+ * one before, as on a terminal.
  */
 final class ProgressTest {
     private final ByteArrayOutputStream mBytes = new ByteArrayOutputStream();
--- a/entry/src/main/java/org/boragegap/entry/BundleApi.java
+++ b/entry/src/main/java/org/boragegap/entry/BundleApi.java
@@ -19,7 +19,7 @@
  * HTTP handlers that publish a bundle and return the active one.
  *
  * <p>The reply to a publication is based on reading the log back. So an append whose reply was lost
- * can be told from one that did not take effect.
+ * can be distinguished from one that did not.
  */
 final class BundleApi {
     private static final int OK = 200;
--- a/entry/src/main/java/org/boragegap/entry/CallerApi.java
+++ b/entry/src/main/java/org/boragegap/entry/CallerApi.java
@@ -164,8 +164,9 @@
     }
 
     /**
-     * Logs a failure. Failures of which nothing ran are counted and logged at DEBUG only, as there
-     * may be very many of them under overload. All others get a line each at INFO.
+     * Logs a failure. Failures after which no task has run are logged at DEBUG only, as there may
+     * be very many of them under overload; the dispatcher counts them. All others get a line each
+     * at INFO.
      */
     @SuppressWarnings("try")
     private static void logFailure(WaitingCaller waiting, SubmissionId id, Answer answer) {
--- a/entry/src/main/java/org/boragegap/entry/JobBody.java
+++ b/entry/src/main/java/org/boragegap/entry/JobBody.java
@@ -10,7 +10,8 @@
  *     don't contain a time
  * @param team the team on whose behalf it is submitted
  * @param kind kind of task
- * @param timeoutMs how long the caller can use an answer, from now on
+ * @param timeoutMs how long the caller can use an answer, in milliseconds from the receipt of the
+ *     request
  * @param idempotent whether a task may be sent to a target again after it may have run
  * @param async whether to reply 202 (Accepted) at once instead of waiting for the answer
  * @param tasks the tasks of a job
--- a/entry/src/main/java/org/boragegap/entry/PlatformSettings.java
+++ b/entry/src/main/java/org/boragegap/entry/PlatformSettings.java
@@ -19,8 +19,8 @@
     private static final String UNKNOWN_NAME = "unknown";
 
     /**
-     * Replaces addresses: the VM does not listen there. The addresses of the log and the VM list
-     * are not used at all where the platform has a store.
+     * Replaces addresses that the VM can work without. It opens no listener for an empty address of
+     * its own, and makes no calls to the log and the VM list where the platform has a store.
      */
     private static final String NO_ADDRESS = "";
 
--- a/entry/src/main/java/org/boragegap/entry/cell/CellNode.java
+++ b/entry/src/main/java/org/boragegap/entry/cell/CellNode.java
@@ -52,9 +52,9 @@
 
     /**
      * How long the store may wait for a change before it answers a read of the configuration, in
-     * ms. A change must be in force within two seconds, even when the connection goes silent during
-     * a read, which is noticed half a second after this time. A shorter time means more calls to
-     * the store.
+     * ms. A change must be active within two seconds, even when the connection goes silent during a
+     * read, which is noticed half a second after this time. A shorter time means more calls to the
+     * store.
      */
     private static final long CONFIG_WAIT_MS = 1_000;
 
@@ -97,7 +97,7 @@
     private final CountDownLatch mDrained = new CountDownLatch(1);
     private volatile Cells mCells = Cells.none();
 
-    /** Failure domains that operators want emptied, once known. Used by the control thread only. */
+    /** Failure domains to be evacuated, once known. Used by the control thread only. */
     private Optional<Set<String>> mEvacuatedDomains = Optional.empty();
 
     private volatile boolean mDraining;
--- a/entry/src/main/java/org/boragegap/entry/cell/CellOutput.java
+++ b/entry/src/main/java/org/boragegap/entry/cell/CellOutput.java
@@ -27,6 +27,6 @@
     /** Reads the list of the group's members at once. */
     void readMembers();
 
-    /** Joins the group again at once, so that the store can go on assigning the cells. */
+    /** Joins the group again at once, so that the store can continue to assign the cells. */
     void rejoin();
 }
--- a/entry/src/main/java/org/boragegap/entry/cell/CellPeers.java
+++ b/entry/src/main/java/org/boragegap/entry/cell/CellPeers.java
@@ -110,7 +110,8 @@
 
         @Override
         public void onLost(String address, PeerMessage message, boolean sent) {
-            // What matters is sent again: offers by PendingJobs, the rest through heartbeats.
+            // Messages that must arrive are sent again: offers by PendingJobs, the rest through
+            // heartbeats.
             sLog.debug("message to {} lost", address);
         }
     }
--- a/entry/src/main/java/org/boragegap/entry/cell/Cells.java
+++ b/entry/src/main/java/org/boragegap/entry/cell/Cells.java
@@ -50,7 +50,7 @@
     /**
      * Creates this VM's members of the cells of a layout.
      *
-     * @param cpuMillis processor of this VM, in thousandths of a core
+     * @param cpuMillis CPU capacity of this VM, in thousandths of a core
      * @param beganMs when this process began, on the monotonic clock, in ms
      * @param createDriver creates the driver for the cell of a given number
      */
@@ -151,7 +151,7 @@
         }
     }
 
-    /** Passes to all cells which failure domains operators want emptied. */
+    /** Passes the failure domains to be evacuated to all cells. */
     void domainsEvacuated(Set<String> domains) {
         for (int cell = 0; cell < mDrivers.size(); cell++) {
             on(cell, new CellEvent.DomainsEvacuated(domains));
--- a/entry/src/main/java/org/boragegap/entry/cell/GroupMembership.java
+++ b/entry/src/main/java/org/boragegap/entry/cell/GroupMembership.java
@@ -36,8 +36,8 @@
 
     /**
      * Interval between reads of the list of members, in ms. New VMs announce themselves, and a VM
-     * that misses its controller reads the list more often; this read finds VMs that are gone for
-     * good.
+     * that has no contact with a controller reads the list more often; this read finds VMs that
+     * have left permanently.
      */
     private static final long MEMBERS_POLL_MS = 3_000;
 
@@ -46,7 +46,7 @@
     /** Shortest interval between reads of the members, in ms; a new controller reads as often. */
     private static final long MIN_READ_INTERVAL_MS = 100;
 
-    /** Separates the parts of a member's name: address, incarnation, processor. */
+    /** Separates the parts of a member's name: address, incarnation, CPU capacity. */
     private static final String NAME_SEPARATOR = "/";
 
     private final StoreClient mStore;
@@ -180,8 +180,8 @@
 
     /**
      * Reads the members, at once or when {@link #MIN_READ_INTERVAL_MS} has passed since the last
-     * read. Each cell that misses its controller asks for it; without this limit, eight cells on 47
-     * VMs caused a thousand calls to the store a second.
+     * read. Each cell without contact with its controller requests it; without this limit, eight
+     * cells on 47 VMs caused a thousand calls to the store a second.
      */
     void readMembers() {
         long waitMs = mMembersReadMs + MIN_READ_INTERVAL_MS - HttpClient.nowMs();
--- a/entry/src/main/java/org/boragegap/entry/cell/JobApi.java
+++ b/entry/src/main/java/org/boragegap/entry/cell/JobApi.java
@@ -52,7 +52,7 @@
         mMetrics = metrics;
     }
 
-    /** Puts a configuration in force, unless its version or a later one already is. */
+    /** Activates a configuration, unless its version or a later one is already active. */
     synchronized void configure(Configuration configuration) {
         Configuration current = mConfiguration;
         if (current != null && configuration.version() <= current.version()) {
@@ -72,7 +72,7 @@
     /**
      * From now on closes each connection after its next answer, as the process will stop. Callers
      * keep connections open; requests that they sent over these to a process that accepts no more
-     * were refused, though other entry VMs had room for them.
+     * were refused, though other entry VMs could have served them.
      */
     void closeConnectionsAfterReply() {
         mClosingConnections = true;
@@ -82,13 +82,13 @@
         return mConfiguration != null;
     }
 
-    /** True when the configuration names this service, and while no configuration is in force. */
+    /** True when the configuration names this service, and while no configuration is active. */
     boolean knowsService(String service) {
         Configuration configuration = mConfiguration;
         return configuration == null || configuration.services().containsKey(service);
     }
 
-    /** Version of the configuration in force; 0 for none. */
+    /** Version of the active configuration; 0 for none. */
     long configVersion() {
         Configuration configuration = mConfiguration;
         return configuration == null ? 0 : configuration.version();
@@ -209,10 +209,10 @@
 
     /**
      * Sends an answer, and closes the connection after it when other VMs can serve the caller
-     * better: this VM stops, or hears neither the store nor a controller. The platform sends new
-     * connections to other failure domains by then, but open ones stay. Without this, every caller
-     * in a failure domain that was disconnected from the others was refused over its open
-     * connection until the domain was connected again.
+     * better: this VM stops, or has contact with neither the store nor a controller. The platform
+     * sends new connections to other failure domains by then, but open ones stay. Without this,
+     * every caller in a failure domain that was disconnected from the others was refused over its
+     * open connection until the domain was connected again.
      */
     private void send(IncomingRequest in, JobProtocol.Reply reply) {
         if (mClosingConnections || !mCallbacks.canServeCallers()) {
--- a/entry/src/main/java/org/boragegap/entry/cell/LayoutResolver.java
+++ b/entry/src/main/java/org/boragegap/entry/cell/LayoutResolver.java
@@ -51,7 +51,7 @@
      *
      * @param layoutMissing run when the store holds no layout yet, so that this VM learns which
      *     others there are
-     * @param cpuMillis processor of each entry VM that is known, in thousandths of a core
+     * @param cpuMillis CPU capacity of each entry VM that is known, in thousandths of a core
      * @param listener receives the layout
      */
     LayoutResolver(
--- a/entry/src/main/java/org/boragegap/entry/cell/Outbox.java
+++ b/entry/src/main/java/org/boragegap/entry/cell/Outbox.java
@@ -8,9 +8,9 @@
 
 /**
  * Collects the messages to other VMs that one batch of events on the control thread causes, so that
- * each destination is sent one frame. A VM that misses the controllers of eight cells says so in
- * one frame, not eight; each frame costs both sides a system call and a wake-up. Used by the
- * control thread only.
+ * each destination is sent one frame. A VM that has no contact with the controllers of eight cells
+ * reports this in one frame, not eight; each frame costs both sides a system call and a wake-up.
+ * Used by the control thread only.
  */
 final class Outbox {
     /** Sends frames to other VMs. */
--- a/entry/src/main/java/org/boragegap/entry/cell/TopicWatcher.java
+++ b/entry/src/main/java/org/boragegap/entry/cell/TopicWatcher.java
@@ -27,7 +27,7 @@
 
     /**
      * How long to wait for an answer, in ms, beyond the time for which the store may wait for a
-     * record. A connection can go silent for good; a store that is slow takes a quarter of a
+     * record. A connection can go silent permanently; a store that is slow takes a quarter of a
      * second.
      */
     private static final long ANSWER_TIMEOUT_MS = 500;
--- a/entry/src/test/java/org/boragegap/entry/cell/OutboxTest.java
+++ b/entry/src/test/java/org/boragegap/entry/cell/OutboxTest.java
@@ -12,8 +12,9 @@
 
 /**
  * Guards against a frame for each message when 47 VMs with eight cells start: until controllers are
- * known, each VM tells the others for each cell that it misses one. Messages to one VM that are
- * flushed together are one frame, and the same messages to several VMs are encoded once.
+ * known, each VM reports to the others, for each cell, that it has no contact with a controller.
+ * Messages to one VM that are flushed together are one frame, and the same messages to several VMs
+ * are encoded once.
  */
 final class OutboxTest {
     private record Sent(String address, boolean asReply, PeerMessage frame) {}
--- a/standin/src/main/java/org/boragegap/standin/CellTargetStandin.java
+++ b/standin/src/main/java/org/boragegap/standin/CellTargetStandin.java
@@ -31,7 +31,10 @@
     private static final long TICK_INTERVAL_MS = 5;
     private static final long CLOCK_OFFSET_MS = 480_000;
 
-    /** How orders are answered. */
+    /**
+     * How orders to start and stop runs are answered. Orders to extend the lease are carried out at
+     * once and answered in all modes.
+     */
     public enum AnswerMode {
         /** Carried out and answered at once. */
         PROMPT,
@@ -123,7 +126,7 @@
         mStore.put("keyed.servers", mId, entry.toString());
     }
 
-    /** Sets how orders are answered from now on. */
+    /** Sets how orders to start and stop runs are answered from now on. */
     public synchronized void answerMode(AnswerMode answerMode) {
         mAnswerMode = answerMode;
     }
@@ -177,7 +180,7 @@
         }
     }
 
-    /** Answers an order; an empty reason means success. */
+    /** Answers an order to start or stop a run; an empty reason means success. */
     private void answer(IncomingRequest request, String reason) {
         if (mAnswerMode != AnswerMode.PROMPT) {
             request.drop();
--- a/wire/src/main/java/org/boragegap/wire/PeerMessage.java
+++ b/wire/src/main/java/org/boragegap/wire/PeerMessage.java
@@ -72,7 +72,7 @@
     record Cancel(SubmissionId id, int hops) implements PeerMessage {}
 
     /**
-     * States which version of the bundle is in force at the sender; a receiver with a newer one
+     * States which version of the bundle is active at the sender; a receiver with a newer one
      * answers with {@link BundleIs} on the same connection.
      *
      * @param version the version, 0 for none
@@ -80,7 +80,7 @@
     record BundleVersion(long version) implements PeerMessage {}
 
     /**
-     * Contains the bundle that is in force at the sender.
+     * Contains the bundle that is active at the sender.
      *
      * @param bundle the bundle
      */
